--- a/include/rosemarystile.h
+++ b/include/rosemarystile.h
@@ -113,13 +113,13 @@
 int rst_lease_init (struct rst_lease *lease, rst_ms ttl_ms, rst_ms margin_ms);
 
 /**
- * rst_lease_renewed() - Records a renewal that the store has confirmed.
+ * rst_lease_record_renewal() - Records a renewal that the store has confirmed.
  * @lease: The lease.
  * @sent_at: The time just before the confirmed request was sent.
  *
  * Confirmations may arrive in any order; an older one changes nothing.
  */
-void rst_lease_renewed (struct rst_lease *lease, rst_ms sent_at);
+void rst_lease_record_renewal (struct rst_lease *lease, rst_ms sent_at);
 
 /**
  * rst_lease_drop() - Gives the right up at once.
@@ -128,13 +128,13 @@
 void rst_lease_drop (struct rst_lease *lease);
 
 /**
- * rst_lease_held() - Tells whether the right may be used.
+ * rst_lease_is_held() - Tells whether the right may be used.
  * @lease: The lease.
  * @now: The present time.
  *
  * Call it at the last moment before each use.
  */
-bool rst_lease_held (const struct rst_lease *lease, rst_ms now);
+bool rst_lease_is_held (const struct rst_lease *lease, rst_ms now);
 
 /* ---- Ownership -------------------------------------------------------- */
 
@@ -154,14 +154,14 @@
 };
 
 /**
- * struct rst_owned - Ownership of one instance.
+ * struct rst_ownership - Ownership of one instance.
  * @instance: Name of the instance.
  * @owner: Incarnation of the owner, or "" when nobody owns it.
  * @epoch: Grows by one with each new owner; fences commands of older ones.
  * @settled: Whether the owner knows all that runs there and holds the parts
  *   of upper limits for it.
  */
-struct rst_owned
+struct rst_ownership
 {
   char instance[RST_NAME_SIZE];
   char owner[RST_NAME_SIZE];
@@ -173,7 +173,7 @@
  * struct rst_zone - The ownership record of one availability zone.
  * @zone: Name of the availability zone.
  * @writer: Incarnation that wrote this version.
- * @write: The writer's own number of this write; with @writer it lets a
+ * @write_number: The writer's own number of this write; with @writer it lets a
  *   process recognise its own write when the answer was lost.
  * @revision: Store revision of this version; 0 when not stored yet.
  * @member_count: Number of members.
@@ -188,7 +188,7 @@
 {
   char zone[RST_NAME_SIZE];
   char writer[RST_NAME_SIZE];
-  uint64_t write;
+  uint64_t write_number;
   uint64_t revision;
   int member_count;
   struct rst_member members[RST_MEMBERS_MAX];
@@ -196,7 +196,7 @@
   char departed[RST_DEPARTED_MAX][RST_NAME_SIZE];
   int owned_count;
   int owned_capacity;
-  struct rst_owned *owned;
+  struct rst_ownership *owned;
 };
 
 /**
@@ -252,14 +252,14 @@
                                                const char *incarnation);
 
 /**
- * rst_zone_find_owned() - Finds the ownership of an instance.
+ * rst_zone_find_ownership() - Finds the ownership of an instance.
  * @zone: The record.
  * @instance: Name of the instance.
  *
  * Return: The entry, valid until the record changes, or NULL.
  */
-const struct rst_owned *rst_zone_find_owned (const struct rst_zone *zone,
-                                             const char *instance);
+const struct rst_ownership *
+rst_zone_find_ownership (const struct rst_zone *zone, const char *instance);
 
 /**
  * rst_zone_add_member() - Adds a member or replaces its older incarnation.
@@ -284,7 +284,8 @@
 int rst_zone_remove_member (struct rst_zone *zone, const char *incarnation);
 
 /**
- * rst_zone_claim() - Makes a member the owner of its unowned instances.
+ * rst_zone_claim_instances() - Makes a member the owner of its unowned
+ * instances.
  * @zone: The record.
  * @incarnation: The claiming member.
  * @instances: Names of the zone's live instances.
@@ -295,11 +296,12 @@
  *
  * Return: The number of instances claimed, or -1 when memory is short.
  */
-int rst_zone_claim (struct rst_zone *zone, const char *incarnation,
-                    const char *const *instances, int count);
+int rst_zone_claim_instances (struct rst_zone *zone, const char *incarnation,
+                              const char *const *instances, int count);
 
 /**
- * rst_zone_yield() - Releases instances that hashing proposes to others.
+ * rst_zone_release_excess() - Releases instances that hashing proposes to
+ * others.
  * @zone: The record.
  * @incarnation: The yielding member.
  * @max_moves: Largest number to release.
@@ -309,11 +311,11 @@
  *
  * Return: The number released.
  */
-int rst_zone_yield (struct rst_zone *zone, const char *incarnation,
-                    int max_moves);
+int rst_zone_release_excess (struct rst_zone *zone, const char *incarnation,
+                             int max_moves);
 
 /**
- * rst_zone_give() - Passes an owned instance on to another member.
+ * rst_zone_hand_over() - Passes an owned instance on to another member.
  * @zone: The record.
  * @instance: Name of the instance.
  * @owner: Incarnation of the new owner.
@@ -322,38 +324,40 @@
  *
  * Return: RST_OK, or RST_ERROR_NOT_FOUND.
  */
-int rst_zone_give (struct rst_zone *zone, const char *instance,
-                   const char *owner);
+int rst_zone_hand_over (struct rst_zone *zone, const char *instance,
+                        const char *owner);
 
 /**
- * rst_zone_settle() - Marks an instance as settled under its owner.
+ * rst_zone_mark_settled() - Marks an instance as settled under its owner.
  * @zone: The record.
  * @instance: Name of the instance.
  * @owner: Incarnation that must be its owner.
  *
  * Return: RST_OK, RST_ERROR_NOT_FOUND or RST_ERROR_NOT_HELD.
  */
-int rst_zone_settle (struct rst_zone *zone, const char *instance,
-                     const char *owner);
+int rst_zone_mark_settled (struct rst_zone *zone, const char *instance,
+                           const char *owner);
 
 /**
- * rst_zone_forget() - Removes an instance that exists no more.
+ * rst_zone_remove_instance() - Removes an instance that exists no more.
  * @zone: The record.
  * @instance: Name of the instance.
  *
  * Return: RST_OK, or RST_ERROR_NOT_FOUND.
  */
-int rst_zone_forget (struct rst_zone *zone, const char *instance);
+int rst_zone_remove_instance (struct rst_zone *zone, const char *instance);
 
 /**
- * rst_zone_proposed() - Tells whom hashing proposes as an instance's owner.
+ * rst_zone_get_preferred_owner() - Tells whom hashing proposes as an
+ * instance's owner.
  * @zone: The record.
  * @instance: Name of the instance.
  *
  * Return: The member, or NULL when there is none.
  */
-const struct rst_member *rst_zone_proposed (const struct rst_zone *zone,
-                                            const char *instance);
+const struct rst_member *
+rst_zone_get_preferred_owner (const struct rst_zone *zone,
+                              const char *instance);
 
 /**
  * rst_rendezvous_score() - How much a key prefers a name.
@@ -365,7 +369,7 @@
 uint64_t rst_rendezvous_score (const char *key, const char *name);
 
 /**
- * rst_rendezvous() - Picks one of several names for a key.
+ * rst_rendezvous_pick() - Picks one of several names for a key.
  * @key: The key.
  * @names: The candidates.
  * @count: Number of candidates.
@@ -374,7 +378,7 @@
  *
  * Return: Index of the pick, or -1 when @count is 0.
  */
-int rst_rendezvous (const char *key, const char *const *names, int count);
+int rst_rendezvous_pick (const char *key, const char *const *names, int count);
 
 /* ---- Tenure ------------------------------------------------------------
  */
@@ -449,48 +453,51 @@
 void rst_tenure_destroy (struct rst_tenure *tenure);
 
 /**
- * rst_tenure_renewed() - Records a confirmed renewal of the store lease.
+ * rst_tenure_record_renewal() - Records a confirmed renewal of the store
+ * lease.
  * @tenure: The tenure.
  * @sent_at: Time before the renewal was sent.
  */
-void rst_tenure_renewed (struct rst_tenure *tenure, rst_ms sent_at);
+void rst_tenure_record_renewal (struct rst_tenure *tenure, rst_ms sent_at);
 
-/** rst_tenure_lease_lost() - Records that the store knows no such lease. */
-void rst_tenure_lease_lost (struct rst_tenure *tenure);
+/** rst_tenure_drop_lease() - Records that the store knows no such lease. */
+void rst_tenure_drop_lease (struct rst_tenure *tenure);
 
 /** rst_tenure_end() - Gives the tenure up for good. */
 void rst_tenure_end (struct rst_tenure *tenure);
 
 /**
- * rst_tenure_declare() - Adds the members of a view that is being declared.
+ * rst_tenure_declare_view() - Adds the members of a view that is being
+ * declared.
  * @tenure: The tenure.
  * @view: The ownership record whose revision is about to be written.
  *
  * Call it before the write is sent: from then on promises of these members
  * are required as well.
  */
-void rst_tenure_declare (struct rst_tenure *tenure,
-                         const struct rst_zone *view);
+void rst_tenure_declare_view (struct rst_tenure *tenure,
+                              const struct rst_zone *view);
 
 /**
- * rst_tenure_declared() - Records that a view is stored as declared.
+ * rst_tenure_confirm_view() - Records that a view is stored as declared.
  * @tenure: The tenure.
  * @revision: Revision of the view; older views no longer count.
  */
-void rst_tenure_declared (struct rst_tenure *tenure, uint64_t revision);
+void rst_tenure_confirm_view (struct rst_tenure *tenure, uint64_t revision);
 
 /**
- * rst_tenure_promised() - Records a promise received.
+ * rst_tenure_record_promise() - Records a promise received.
  * @tenure: The tenure.
- * @giver: Incarnation of its giver.
+ * @member: Incarnation of its giver.
  * @asked_at: Time before the promise was asked for.
  * @duration_ms: How long it holds.
  */
-void rst_tenure_promised (struct rst_tenure *tenure, const char *giver,
-                          rst_ms asked_at, rst_ms duration_ms);
+void rst_tenure_record_promise (struct rst_tenure *tenure, const char *member,
+                                rst_ms asked_at, rst_ms duration_ms);
 
 /**
- * rst_tenure_stopped() - Records that a member has stopped for certain.
+ * rst_tenure_record_member_stop() - Records that a member has stopped for
+ * certain.
  * @tenure: The tenure.
  * @member: Its incarnation.
  * @now: The present time.
@@ -498,34 +505,35 @@
  * It counts only when the member cannot have ended this tenure before it
  * stopped: within the quiet time of its last promise.
  */
-void rst_tenure_stopped (struct rst_tenure *tenure, const char *member,
-                         rst_ms now);
+void rst_tenure_record_member_stop (struct rst_tenure *tenure,
+                                    const char *member, rst_ms now);
 
 /**
- * rst_tenure_held() - Tells whether the holder may use its rights.
+ * rst_tenure_is_held() - Tells whether the holder may use its rights.
  * @tenure: The tenure.
  * @now: The present time.
  */
-bool rst_tenure_held (const struct rst_tenure *tenure, rst_ms now);
+bool rst_tenure_is_held (const struct rst_tenure *tenure, rst_ms now);
 
 /**
- * rst_tenure_until() - Tells until when the tenure holds as things stand.
+ * rst_tenure_get_expiry() - Tells until when the tenure holds as things stand.
  * @tenure: The tenure.
  * @now: The present time.
  *
  * Return: The time, or 0 when it is not held; INT64_MAX when nobody else
  * can end it.
  */
-rst_ms rst_tenure_until (const struct rst_tenure *tenure, rst_ms now);
+rst_ms rst_tenure_get_expiry (const struct rst_tenure *tenure, rst_ms now);
 
 /**
- * rst_tenure_lacking() - Names a member whose promise is missing.
+ * rst_tenure_find_missing_promise() - Names a member whose promise is missing.
  * @tenure: The tenure.
  * @now: The present time.
  *
  * Return: Its incarnation, valid until the next call on @tenure, or NULL.
  */
-const char *rst_tenure_lacking (const struct rst_tenure *tenure, rst_ms now);
+const char *rst_tenure_find_missing_promise (const struct rst_tenure *tenure,
+                                             rst_ms now);
 
 struct rst_promises;
 
@@ -543,7 +551,7 @@
 void rst_promises_destroy (struct rst_promises *promises);
 
 /**
- * rst_promises_give() - Promises not to end a member's tenure.
+ * rst_promises_issue() - Promises not to end a member's tenure.
  * @promises: The register.
  * @member: The member that asks.
  * @now: The present time; the answer is sent at once.
@@ -551,11 +559,11 @@
  * Return: The duration promised, or 0 when this process is ending the
  * member's tenure.
  */
-rst_ms rst_promises_give (struct rst_promises *promises, const char *member,
-                          rst_ms now);
+rst_ms rst_promises_issue (struct rst_promises *promises, const char *member,
+                           rst_ms now);
 
 /**
- * rst_promises_may_end() - Tells whether a member's tenure may be ended.
+ * rst_promises_allow_fencing() - Tells whether a member's tenure may be ended.
  * @promises: The register.
  * @member: The member.
  * @now: The present time.
@@ -563,38 +571,38 @@
  * Return: Whether every promise to it has run out and it has been silent for
  * the quiet time.
  */
-bool rst_promises_may_end (const struct rst_promises *promises,
-                           const char *member, rst_ms now);
+bool rst_promises_allow_fencing (const struct rst_promises *promises,
+                                 const char *member, rst_ms now);
 
 /**
- * rst_promises_refuse() - Gives a member no more promises.
+ * rst_promises_set_refused() - Gives a member no more promises.
  * @promises: The register.
  * @member: The member.
  * @refuse: true before its tenure is ended; false when that did not happen.
  */
-void rst_promises_refuse (struct rst_promises *promises, const char *member,
-                          bool refuse);
+void rst_promises_set_refused (struct rst_promises *promises,
+                               const char *member, bool refuse);
 
 /* ---- Upper limits ----------------------------------------------------- */
 
 /**
- * struct rst_part - One holder's part of an upper limit.
+ * struct rst_limit_part - One holder's part of an upper limit.
  * @holder: Incarnation of the holder.
  * @granted: How many it may have running.
  * @wanted: How many more it asks for; 0 when content.
- * @write: The holder's number of its last write of the record, by which it
- *   recognises a write whose answer was lost.
+ * @write_number: The holder's number of its last write of the record, by which
+ * it recognises a write whose answer was lost.
  */
-struct rst_part
+struct rst_limit_part
 {
   char holder[RST_NAME_SIZE];
   uint32_t granted;
   uint32_t wanted;
-  uint64_t write;
+  uint64_t write_number;
 };
 
 /** Largest number of holders of parts of one limit. */
-#define RST_PARTS_MAX 64
+#define RST_LIMIT_PARTS_MAX 64
 
 /**
  * struct rst_limit - The stored record of a team's upper limit.
@@ -606,7 +614,7 @@
 {
   uint64_t revision;
   int part_count;
-  struct rst_part parts[RST_PARTS_MAX];
+  struct rst_limit_part parts[RST_LIMIT_PARTS_MAX];
 };
 
 /**
@@ -629,22 +637,23 @@
 char *rst_limit_format (const struct rst_limit *limit);
 
 /**
- * rst_limit_granted() - Sums all parts.
+ * rst_limit_sum_granted() - Sums all parts.
  * @limit: The record.
  */
-uint32_t rst_limit_granted (const struct rst_limit *limit);
+uint32_t rst_limit_sum_granted (const struct rst_limit *limit);
 
 /**
- * rst_limit_find() - Finds a holder's part.
+ * rst_limit_find_part() - Finds a holder's part.
  * @limit: The record.
  * @holder: Incarnation of the holder.
  *
  * Return: The part, valid until the record changes, or NULL.
  */
-struct rst_part *rst_limit_find (struct rst_limit *limit, const char *holder);
+struct rst_limit_part *rst_limit_find_part (struct rst_limit *limit,
+                                            const char *holder);
 
 /**
- * rst_limit_request() - Grows a holder's part as far as the limit allows.
+ * rst_limit_grow_part() - Grows a holder's part as far as the limit allows.
  * @limit: The record.
  * @holder: Incarnation of the holder.
  * @upper_limit: The limit in force.
@@ -655,22 +664,22 @@
  * Return: RST_OK when all was granted, RST_ERROR_LIMIT when less was, or
  * RST_ERROR_FULL when there is no room for another holder.
  */
-int rst_limit_request (struct rst_limit *limit, const char *holder,
-                       uint32_t upper_limit, uint32_t more);
+int rst_limit_grow_part (struct rst_limit *limit, const char *holder,
+                         uint32_t upper_limit, uint32_t more);
 
 /**
- * rst_limit_shrink() - Lowers a holder's part.
+ * rst_limit_shrink_part() - Lowers a holder's part.
  * @limit: The record.
  * @holder: Incarnation of the holder.
  * @granted: The new part; at least what the holder has running.
  *
  * Return: RST_OK, or RST_ERROR_NOT_FOUND.
  */
-int rst_limit_shrink (struct rst_limit *limit, const char *holder,
-                      uint32_t granted);
+int rst_limit_shrink_part (struct rst_limit *limit, const char *holder,
+                           uint32_t granted);
 
 /**
- * rst_limit_target() - Tells how much a holder should keep.
+ * rst_limit_get_target_part() - Tells how much a holder should keep.
  * @limit: The record.
  * @holder: Incarnation of the holder.
  * @upper_limit: The limit in force.
@@ -682,47 +691,47 @@
  *
  * Return: The part it should keep; may be less than @used.
  */
-uint32_t rst_limit_target (const struct rst_limit *limit, const char *holder,
-                           uint32_t upper_limit, uint32_t used,
-                           uint32_t wanted);
+uint32_t rst_limit_get_target_part (const struct rst_limit *limit,
+                                    const char *holder, uint32_t upper_limit,
+                                    uint32_t used, uint32_t wanted);
 
 /* ---- Retry budget and circuit breaker --------------------------------- */
 
 /**
- * struct rst_budget - Bounds retries to a part of the requests.
- * @tokens: Present balance, in thousandths of a retry.
- * @per_request: Added with each request, in thousandths of a retry.
- * @max_tokens: Largest balance, in thousandths of a retry.
+ * struct rst_retry_budget - Bounds retries to a part of the requests.
+ * @balance_permille: Present balance, in thousandths of a retry.
+ * @per_request_permille: Added with each request, in thousandths of a retry.
+ * @max_balance_permille: Largest balance, in thousandths of a retry.
  */
-struct rst_budget
+struct rst_retry_budget
 {
-  int32_t tokens;
-  int32_t per_request;
-  int32_t max_tokens;
+  int32_t balance_permille;
+  int32_t per_request_permille;
+  int32_t max_balance_permille;
 };
 
 /**
- * rst_budget_init() - Prepares a budget that starts full.
+ * rst_retry_budget_init() - Prepares a budget that starts full.
  * @budget: The budget.
- * @per_request: Thousandths of a retry earned by each request.
+ * @per_request_permille: Thousandths of a retry earned by each request.
  * @max_retries: Largest balance, in retries.
  */
-void rst_budget_init (struct rst_budget *budget, int32_t per_request,
-                      int32_t max_retries);
+void rst_retry_budget_init (struct rst_retry_budget *budget,
+                            int32_t per_request_permille, int32_t max_retries);
 
 /**
- * rst_budget_earn() - Counts a first attempt.
+ * rst_retry_budget_add_request() - Counts a first attempt.
  * @budget: The budget.
  */
-void rst_budget_earn (struct rst_budget *budget);
+void rst_retry_budget_add_request (struct rst_retry_budget *budget);
 
 /**
- * rst_budget_spend() - Asks to make one retry.
+ * rst_retry_budget_take_retry() - Asks to make one retry.
  * @budget: The budget.
  *
  * Return: Whether the retry may be made; it is then paid for.
  */
-bool rst_budget_spend (struct rst_budget *budget);
+bool rst_retry_budget_take_retry (struct rst_retry_budget *budget);
 
 /**
  * struct rst_breaker - Isolates a back end that keeps failing.
@@ -752,27 +761,30 @@
                        rst_ms open_ms);
 
 /**
- * rst_breaker_allows() - Tells whether work may be sent.
+ * rst_breaker_allows_request() - Tells whether work may be sent.
  * @breaker: The breaker.
  * @now: The present time.
  *
- * After the open time one probe is allowed; call rst_breaker_sent() with it.
+ * After the open time one probe is allowed; call rst_breaker_record_request()
+ * with it.
  */
-bool rst_breaker_allows (const struct rst_breaker *breaker, rst_ms now);
+bool rst_breaker_allows_request (const struct rst_breaker *breaker,
+                                 rst_ms now);
 
 /**
- * rst_breaker_sent() - Records that work was sent.
+ * rst_breaker_record_request() - Records that work was sent.
  * @breaker: The breaker.
  */
-void rst_breaker_sent (struct rst_breaker *breaker);
+void rst_breaker_record_request (struct rst_breaker *breaker);
 
 /**
- * rst_breaker_result() - Records how work ended.
+ * rst_breaker_record_result() - Records how work ended.
  * @breaker: The breaker.
  * @ok: Whether it succeeded.
  * @now: The present time.
  */
-void rst_breaker_result (struct rst_breaker *breaker, bool ok, rst_ms now);
+void rst_breaker_record_result (struct rst_breaker *breaker, bool ok,
+                                rst_ms now);
 
 RST_END_DECLARATIONS
 
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -7,27 +7,27 @@
 #define LOG_PREFIX "route"
 
 /** Time between two attempts to connect. */
-#define CONNECT_EVERY_MS 300
+#define CONNECT_INTERVAL_MS 300
 
 /** Time between two digests. */
-#define DIGEST_EVERY_MS 1000
+#define DIGEST_INTERVAL_MS 1000
 
 /** Time between two searches for requests past their deadline. */
-#define EXPIRE_EVERY_MS 25
+#define EXPIRE_INTERVAL_MS 25
 
 /** Thousandths of a retry earned by each request, and most saved up. */
-#define RETRY_PER_REQUEST 200
+#define RETRY_PER_REQUEST_PERMILLE 200
 
-#define RETRIES_MAX 100
+#define RETRY_BALANCE_MAX 100
 
 rst_ms
-rst_entry_entry_now (const struct rst_entry *entry)
+rst_entry_now (const struct rst_entry *entry)
 {
   return rst_clock_now (&entry->config.clock);
 }
 
 static void
-pending_free (gpointer data)
+free_pending (gpointer data)
 {
   struct pending *pending = data;
 
@@ -37,8 +37,8 @@
 
 struct rst_entry *
 rst_entry_create (const struct rst_entry_config *config,
-                  const struct rst_links *links, void *links_data,
-                  rst_entry_answer answer)
+                  const struct rst_link_ops *links, void *links_data,
+                  rst_entry_reply_callback answer)
 {
   struct rst_entry *entry = g_new0 (struct rst_entry, 1);
 
@@ -52,14 +52,15 @@
   entry->peers
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   entry->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
-                                          pending_free);
+                                          free_pending);
   entry->seeds = g_ptr_array_new_with_free_func (g_free);
-  rst_budget_init (&entry->retry_budget, RETRY_PER_REQUEST, RETRIES_MAX);
+  rst_retry_budget_init (&entry->retry_budget, RETRY_PER_REQUEST_PERMILLE,
+                         RETRY_BALANCE_MAX);
   return entry;
 }
 
 void
-rst_entry_add_seed (struct rst_entry *entry, const char *address)
+rst_entry_add_seed_address (struct rst_entry *entry, const char *address)
 {
   g_ptr_array_add (entry->seeds, g_strdup (address));
 }
@@ -76,9 +77,9 @@
 }
 
 void
-rst_entry_answer_refusal (struct rst_entry *entry, void *handle,
-                          unsigned status, uint64_t outcome,
-                          const char *reason, const char *detail)
+rst_entry_reply_error (struct rst_entry *entry, void *handle, unsigned status,
+                       uint64_t outcome, const char *reason,
+                       const char *detail)
 {
   struct json_object *root = json_object_new_object ();
   struct rst_entry_reply reply = { 0 };
@@ -98,25 +99,25 @@
 }
 
 struct scheduler_peer *
-rst_entry_peer_by_link (struct rst_entry *entry, uint64_t link)
+rst_entry_find_peer (struct rst_entry *entry, uint64_t link)
 {
   return g_hash_table_lookup (entry->peers, &link);
 }
 
 void
-rst_entry_forget_pending (struct rst_entry *entry, struct pending *pending)
+rst_entry_remove_pending (struct rst_entry *entry, struct pending *pending)
 {
-  struct scheduler_peer *peer = rst_entry_peer_by_link (entry, pending->link);
+  struct scheduler_peer *peer = rst_entry_find_peer (entry, pending->link);
 
   if (peer != NULL)
-    peer->sent_since_load--;
+    peer->sent_since_load_report--;
   g_hash_table_remove (entry->pending, &pending->id);
 }
 
 void
-rst_entry_end_refused (struct rst_entry *entry, struct pending *pending,
-                       unsigned status, uint64_t outcome, const char *reason,
-                       const char *detail)
+rst_entry_fail_pending (struct rst_entry *entry, struct pending *pending,
+                        unsigned status, uint64_t outcome, const char *reason,
+                        const char *detail)
 {
   /* An earlier attempt may have run. */
   if (outcome == RST_NOT_RUN && pending->may_have_run)
@@ -124,21 +125,21 @@
       outcome = RST_UNKNOWN;
       status = 504;
     }
-  rst_entry_answer_refusal (entry, pending->handle, status, outcome, reason,
-                            detail);
-  rst_entry_forget_pending (entry, pending);
+  rst_entry_reply_error (entry, pending->handle, status, outcome, reason,
+                         detail);
+  rst_entry_remove_pending (entry, pending);
 }
 
 void
-rst_entry_link_opened (struct rst_entry *entry, uint64_t link)
+rst_entry_handle_link_opened (struct rst_entry *entry, uint64_t link)
 {
-  struct scheduler_peer *peer = rst_entry_peer_by_link (entry, link);
+  struct scheduler_peer *peer = rst_entry_find_peer (entry, link);
   struct rst_message message = { 0 };
 
   if (peer == NULL)
     return;
   peer->open = true;
-  peer->heard_at = rst_entry_entry_now (entry);
+  peer->last_message_at = rst_entry_now (entry);
   message.type = RST_HELLO;
   message.hello.role = RST_ROLE_ENTRY;
   message.hello.name = entry->config.name;
@@ -149,7 +150,7 @@
 }
 
 static void
-end_broken (struct rst_entry *entry, struct pending *pending)
+handle_broken_link (struct rst_entry *entry, struct pending *pending)
 {
   bool query = pending->message.type == RST_QUERY;
   bool read_only = !query
@@ -159,18 +160,18 @@
   if (query)
     pending->may_have_run = true;
   if (query && pending->message.query.idempotent
-      && rst_entry_retry (entry, pending))
+      && rst_entry_retry_pending (entry, pending))
     return;
   if (read_only)
-    rst_entry_end_refused (entry, pending, 503, RST_NOT_RUN, "link-broke",
-                           "the link to the scheduler broke");
+    rst_entry_fail_pending (entry, pending, 503, RST_NOT_RUN, "link-broke",
+                            "the link to the scheduler broke");
   else
-    rst_entry_end_refused (entry, pending, 502, RST_UNKNOWN, "link-broke",
-                           "the link to the scheduler broke");
+    rst_entry_fail_pending (entry, pending, 502, RST_UNKNOWN, "link-broke",
+                            "the link to the scheduler broke");
 }
 
 void
-rst_entry_link_closed (struct rst_entry *entry, uint64_t link)
+rst_entry_handle_link_closed (struct rst_entry *entry, uint64_t link)
 {
   GList *all = g_hash_table_get_values (entry->pending);
 
@@ -180,7 +181,7 @@
       struct pending *pending = item->data;
 
       if (pending->link == link)
-        end_broken (entry, pending);
+        handle_broken_link (entry, pending);
     }
   g_list_free (all);
 }
@@ -199,7 +200,7 @@
 }
 
 static void
-connect_to (struct rst_entry *entry, const char *address)
+connect_to_address (struct rst_entry *entry, const char *address)
 {
   struct scheduler_peer *peer;
   uint64_t link;
@@ -219,18 +220,18 @@
 connect_to_members (const struct rst_zone *zone, void *userdata)
 {
   for (int i = 0; i < zone->member_count; i++)
-    connect_to (userdata, zone->members[i].address);
+    connect_to_address (userdata, zone->members[i].address);
 }
 
 static void
-expire (struct rst_entry *entry)
+expire_pending (struct rst_entry *entry)
 {
-  rst_ms now = rst_entry_entry_now (entry);
+  rst_ms now = rst_entry_now (entry);
   GList *all;
 
   if (now < entry->expire_next_at)
     return;
-  entry->expire_next_at = now + EXPIRE_EVERY_MS;
+  entry->expire_next_at = now + EXPIRE_INTERVAL_MS;
   if (g_hash_table_size (entry->pending) == 0)
     return;
   all = g_hash_table_get_values (entry->pending);
@@ -238,45 +239,45 @@
     {
       struct pending *pending = item->data;
 
-      if (now >= pending->give_up_at)
-        rst_entry_end_refused (entry, pending, 504, RST_UNKNOWN, "no-answer",
-                               "no answer before the deadline");
+      if (now >= pending->expires_at)
+        rst_entry_fail_pending (entry, pending, 504, RST_UNKNOWN, "no-answer",
+                                "no answer before the deadline");
     }
   g_list_free (all);
 }
 
 static void
-connect_tick (struct rst_entry *entry)
+update_connections (struct rst_entry *entry)
 {
-  rst_ms now = rst_entry_entry_now (entry);
+  rst_ms now = rst_entry_now (entry);
 
   if (now < entry->connect_next_at)
     return;
   entry->connect_next_at
-      = now + CONNECT_EVERY_MS / 2
-        + g_rand_int_range (entry->random, 0, CONNECT_EVERY_MS);
+      = now + CONNECT_INTERVAL_MS / 2
+        + g_rand_int_range (entry->random, 0, CONNECT_INTERVAL_MS);
   for (guint i = 0; i < entry->seeds->len; i++)
-    connect_to (entry, g_ptr_array_index (entry->seeds, i));
+    connect_to_address (entry, g_ptr_array_index (entry->seeds, i));
   rst_settings_records (entry->settings, connect_to_members, entry);
 }
 
 static void
-digest_tick (struct rst_entry *entry)
+send_digests (struct rst_entry *entry)
 {
-  rst_ms now = rst_entry_entry_now (entry);
+  rst_ms now = rst_entry_now (entry);
   struct rst_message message = { 0 };
   GHashTableIter iterator;
   gpointer value;
 
   if (now < entry->digest_next_at)
     return;
-  entry->digest_next_at = now + DIGEST_EVERY_MS;
+  entry->digest_next_at = now + DIGEST_INTERVAL_MS;
   message.type = RST_DIGEST;
   message.digest.hash = rst_settings_hash (entry->settings);
   message.digest.newest = rst_settings_newest (entry->settings);
   g_hash_table_iter_init (&iterator, entry->peers);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
-    if (((struct scheduler_peer *)value)->known)
+    if (((struct scheduler_peer *)value)->is_scheduler)
       entry->links->send (entry->links_data,
                           ((struct scheduler_peer *)value)->link, &message);
 }
@@ -284,25 +285,25 @@
 void
 rst_entry_tick (struct rst_entry *entry)
 {
-  connect_tick (entry);
-  digest_tick (entry);
-  expire (entry);
+  update_connections (entry);
+  send_digests (entry);
+  expire_pending (entry);
 }
 
 void
-rst_entry_stop (struct rst_entry *entry)
+rst_entry_begin_stop (struct rst_entry *entry)
 {
   entry->stopping = true;
 }
 
 int64_t
-rst_entry_pending (const struct rst_entry *entry)
+rst_entry_count_pending (const struct rst_entry *entry)
 {
   return g_hash_table_size (entry->pending);
 }
 
 bool
-rst_entry_ready (const struct rst_entry *entry)
+rst_entry_is_ready (const struct rst_entry *entry)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -314,26 +315,26 @@
     {
       const struct scheduler_peer *peer = value;
 
-      if (peer->known && peer->has_load && peer->load.ready)
+      if (peer->is_scheduler && peer->has_load && peer->load.ready)
         return true;
     }
   return false;
 }
 
 const struct rst_entry_counters *
-rst_entry_counters (const struct rst_entry *entry)
+rst_entry_get_counters (const struct rst_entry *entry)
 {
   return &entry->counters;
 }
 
 const struct rst_settings *
-rst_entry_settings (const struct rst_entry *entry)
+rst_entry_get_settings (const struct rst_entry *entry)
 {
   return entry->settings;
 }
 
 char *
-rst_entry_status (struct rst_entry *entry)
+rst_entry_format_status (struct rst_entry *entry)
 {
   struct json_object *root = json_object_new_object ();
   struct json_object *list = json_object_new_array ();
@@ -342,10 +343,10 @@
 
   rst_json_set_text (root, "name", entry->config.name);
   rst_json_set_text (root, "availability_zone", entry->config.zone);
-  rst_json_set_bool (root, "ready", rst_entry_ready (entry));
+  rst_json_set_bool (root, "ready", rst_entry_is_ready (entry));
   rst_json_set_number (root, "newest",
                        (int64_t)rst_settings_newest (entry->settings));
-  rst_json_set_number (root, "pending", rst_entry_pending (entry));
+  rst_json_set_number (root, "pending", rst_entry_count_pending (entry));
   g_hash_table_iter_init (&iterator, entry->peers);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
@@ -372,8 +373,8 @@
     return;
   all = g_hash_table_get_values (entry->pending);
   for (GList *item = all; item != NULL; item = item->next)
-    rst_entry_end_refused (entry, item->data, 504, RST_UNKNOWN, "stopping",
-                           "the entry stopped before the answer came");
+    rst_entry_fail_pending (entry, item->data, 504, RST_UNKNOWN, "stopping",
+                            "the entry stopped before the answer came");
   g_list_free (all);
   g_hash_table_destroy (entry->pending);
   g_hash_table_destroy (entry->peers);
--- a/src/coordination/entry.h
+++ b/src/coordination/entry.h
@@ -47,13 +47,13 @@
 };
 
 /**
- * typedef rst_entry_answer - Receives the answer to one request.
+ * typedef rst_entry_reply_callback - Receives the answer to one request.
  * @handle: The request, as it was passed in.
  *
  * Called exactly once for each request, on the entry's thread.
  */
-typedef void (*rst_entry_answer) (void *handle,
-                                  const struct rst_entry_reply *reply);
+typedef void (*rst_entry_reply_callback) (void *handle,
+                                          const struct rst_entry_reply *reply);
 
 /**
  * struct rst_entry_request - A caller's request.
@@ -111,54 +111,59 @@
  * Return: The entry, to be freed with rst_entry_destroy().
  */
 struct rst_entry *rst_entry_create (const struct rst_entry_config *config,
-                                    const struct rst_links *links,
-                                    void *links_data, rst_entry_answer answer);
+                                    const struct rst_link_ops *links,
+                                    void *links_data,
+                                    rst_entry_reply_callback answer);
 
 /** rst_entry_destroy() - Frees an entry, or NULL; answers what waits. */
 void rst_entry_destroy (struct rst_entry *entry);
 
-/** rst_entry_add_seed() - Names an address where a scheduler may be. */
-void rst_entry_add_seed (struct rst_entry *entry, const char *address);
+/** rst_entry_add_seed_address() - Names an address where a scheduler may be.
+ */
+void rst_entry_add_seed_address (struct rst_entry *entry, const char *address);
 
 /** rst_entry_tick() - Does what is due; call it every few milliseconds. */
 void rst_entry_tick (struct rst_entry *entry);
 
-/** rst_entry_link_opened() - A link can carry messages. */
-void rst_entry_link_opened (struct rst_entry *entry, uint64_t link);
+/** rst_entry_handle_link_opened() - A link can carry messages. */
+void rst_entry_handle_link_opened (struct rst_entry *entry, uint64_t link);
 
-/** rst_entry_link_closed() - A link is gone, or could not be opened. */
-void rst_entry_link_closed (struct rst_entry *entry, uint64_t link);
+/** rst_entry_handle_link_closed() - A link is gone, or could not be opened. */
+void rst_entry_handle_link_closed (struct rst_entry *entry, uint64_t link);
 
-/** rst_entry_message() - A message arrived; it stays the caller's. */
-void rst_entry_message (struct rst_entry *entry, uint64_t link,
-                        const struct rst_message *message);
+/** rst_entry_handle_message() - A message arrived; it stays the caller's. */
+void rst_entry_handle_message (struct rst_entry *entry, uint64_t link,
+                               const struct rst_message *message);
 
 /**
- * rst_entry_request() - Takes a caller's request.
+ * rst_entry_handle_request() - Takes a caller's request.
  * @entry: The entry.
  * @handle: Passed to the answer function.
  * @request: The request, used during the call only.
  */
-void rst_entry_request (struct rst_entry *entry, void *handle,
-                        const struct rst_entry_request *request);
+void rst_entry_handle_request (struct rst_entry *entry, void *handle,
+                               const struct rst_entry_request *request);
 
-/** rst_entry_stop() - Takes no new requests. */
-void rst_entry_stop (struct rst_entry *entry);
+/** rst_entry_begin_stop() - Takes no new requests. */
+void rst_entry_begin_stop (struct rst_entry *entry);
 
-/** rst_entry_pending() - Number of requests that wait for their answer. */
-int64_t rst_entry_pending (const struct rst_entry *entry);
+/** rst_entry_count_pending() - Number of requests that wait for their answer.
+ */
+int64_t rst_entry_count_pending (const struct rst_entry *entry);
 
-/** rst_entry_ready() - Whether it can serve callers. */
-bool rst_entry_ready (const struct rst_entry *entry);
+/** rst_entry_is_ready() - Whether it can serve callers. */
+bool rst_entry_is_ready (const struct rst_entry *entry);
 
-/** rst_entry_counters() - What it has counted. */
+/** rst_entry_get_counters() - What it has counted. */
 const struct rst_entry_counters *
-rst_entry_counters (const struct rst_entry *entry);
+rst_entry_get_counters (const struct rst_entry *entry);
 
-/** rst_entry_status() - Describes its state as JSON; free with free(). */
-char *rst_entry_status (struct rst_entry *entry);
+/** rst_entry_format_status() - Describes its state as JSON; free with free().
+ */
+char *rst_entry_format_status (struct rst_entry *entry);
 
-/** rst_entry_settings() - The settings that it has in force. */
-const struct rst_settings *rst_entry_settings (const struct rst_entry *entry);
+/** rst_entry_get_settings() - The settings that it has in force. */
+const struct rst_settings *
+rst_entry_get_settings (const struct rst_entry *entry);
 
 #endif
--- a/src/coordination/entry_message.c
+++ b/src/coordination/entry_message.c
@@ -8,18 +8,19 @@
 #define LOG_PREFIX "route"
 
 static void
-take_hello (struct rst_entry *entry, struct scheduler_peer *peer,
-            const struct rst_hello *hello)
+handle_hello (struct rst_entry *entry, struct scheduler_peer *peer,
+              const struct rst_hello *hello)
 {
   (void)entry;
-  peer->known = hello->role == RST_ROLE_SCHEDULER;
+  peer->is_scheduler = hello->role == RST_ROLE_SCHEDULER;
   g_strlcpy (peer->incarnation, hello->incarnation, RST_NAME_SIZE);
   g_strlcpy (peer->zone, hello->zone, RST_NAME_SIZE);
   g_strlcpy (peer->address, hello->address, RST_ADDRESS_SIZE);
 }
 
 static void
-take_branch (struct rst_entry *entry, const struct rst_branch_message *branch)
+handle_branch (struct rst_entry *entry,
+               const struct rst_branch_message *branch)
 {
   GString *problems = g_string_new ("");
   int error
@@ -43,38 +44,39 @@
 }
 
 static void
-take_answer (struct rst_entry *entry, uint64_t link,
-             const struct rst_message *message)
+handle_answer (struct rst_entry *entry, uint64_t link,
+               const struct rst_message *message)
 {
   struct pending *pending = g_hash_table_lookup (entry->pending, &message->id);
-  const struct rst_answer *said = &message->answer;
+  const struct rst_answer *answer = &message->answer;
   struct rst_entry_reply reply = { 0 };
 
   /* A late answer, or one to another request, reaches nobody. */
   if (pending == NULL || pending->link != link
       || pending->message.type != RST_QUERY)
     return;
-  if (said->outcome == RST_NOT_RUN && said->status == 503
-      && rst_entry_retry (entry, pending))
+  if (answer->outcome == RST_NOT_RUN && answer->status == 503
+      && rst_entry_retry_pending (entry, pending))
     return;
-  if (said->outcome != RST_ANSWERED)
+  if (answer->outcome != RST_ANSWERED)
     {
-      rst_entry_end_refused (entry, pending, (unsigned)said->status,
-                             said->outcome, said->reason, said->detail);
+      rst_entry_fail_pending (entry, pending, (unsigned)answer->status,
+                              answer->outcome, answer->reason, answer->detail);
       return;
     }
-  reply.status = (unsigned)said->status;
-  reply.body = said->body.data;
-  reply.length = RST_FAULT (RST_FAULT_CUT_ANSWER) ? said->body.length / 2
-                                                  : said->body.length;
+  reply.status = (unsigned)answer->status;
+  reply.body = answer->body.data;
+  reply.length = RST_FAULT (RST_FAULT_TRUNCATE_ANSWER)
+                     ? answer->body.length / 2
+                     : answer->body.length;
   rst_entry_count_outcome (entry, RST_ANSWERED);
   entry->answer (pending->handle, &reply);
-  rst_entry_forget_pending (entry, pending);
+  rst_entry_remove_pending (entry, pending);
 }
 
 static void
-take_job_reply (struct rst_entry *entry, uint64_t link,
-                const struct rst_message *message)
+handle_job_reply (struct rst_entry *entry, uint64_t link,
+                  const struct rst_message *message)
 {
   struct pending *pending = g_hash_table_lookup (entry->pending, &message->id);
   struct rst_entry_reply reply = { 0 };
@@ -90,38 +92,38 @@
                                   : reply.status < 504 ? RST_NOT_RUN
                                                        : RST_UNKNOWN);
   entry->answer (pending->handle, &reply);
-  rst_entry_forget_pending (entry, pending);
+  rst_entry_remove_pending (entry, pending);
 }
 
 void
-rst_entry_message (struct rst_entry *entry, uint64_t link,
-                   const struct rst_message *message)
+rst_entry_handle_message (struct rst_entry *entry, uint64_t link,
+                          const struct rst_message *message)
 {
-  struct scheduler_peer *peer = rst_entry_peer_by_link (entry, link);
+  struct scheduler_peer *peer = rst_entry_find_peer (entry, link);
 
   if (peer == NULL)
     return;
-  peer->heard_at = rst_entry_entry_now (entry);
+  peer->last_message_at = rst_entry_now (entry);
   switch (message->type)
     {
     case RST_HELLO:
-      take_hello (entry, peer, &message->hello);
+      handle_hello (entry, peer, &message->hello);
       break;
     case RST_BRANCH:
-      take_branch (entry, &message->branch);
+      handle_branch (entry, &message->branch);
       break;
     case RST_LOAD:
       peer->load = message->load;
       peer->load.incarnation = NULL;
       peer->load.zone = NULL;
       peer->has_load = true;
-      peer->sent_since_load = 0;
+      peer->sent_since_load_report = 0;
       break;
     case RST_ANSWER:
-      take_answer (entry, link, message);
+      handle_answer (entry, link, message);
       break;
     case RST_JOB_REPLY:
-      take_job_reply (entry, link, message);
+      handle_job_reply (entry, link, message);
       break;
     default:
       break;
--- a/src/coordination/entry_private.h
+++ b/src/coordination/entry_private.h
@@ -14,14 +14,14 @@
 {
   uint64_t link;
   bool open;
-  bool known;
+  bool is_scheduler;
   bool has_load;
   char address[RST_ADDRESS_SIZE];
   char incarnation[RST_NAME_SIZE];
   char zone[RST_NAME_SIZE];
   struct rst_load load;
-  int64_t sent_since_load;
-  rst_ms heard_at;
+  int64_t sent_since_load_report;
+  rst_ms last_message_at;
 };
 
 struct pending
@@ -31,7 +31,7 @@
   uint64_t link;
   int attempts;
   bool may_have_run;
-  rst_ms give_up_at;
+  rst_ms expires_at;
   rst_ms deadline;
   struct rst_message message;
 };
@@ -39,15 +39,15 @@
 struct rst_entry
 {
   struct rst_entry_config config;
-  const struct rst_links *links;
+  const struct rst_link_ops *links;
   void *links_data;
-  rst_entry_answer answer;
+  rst_entry_reply_callback answer;
   GRand *random;
   struct rst_settings *settings;
   GHashTable *peers;
   GHashTable *pending;
   GPtrArray *seeds;
-  struct rst_budget retry_budget;
+  struct rst_retry_budget retry_budget;
   struct rst_entry_counters counters;
   uint64_t next_id;
   rst_ms connect_next_at;
@@ -57,21 +57,22 @@
 };
 
 /* entry.c */
-rst_ms rst_entry_entry_now (const struct rst_entry *entry);
+rst_ms rst_entry_now (const struct rst_entry *entry);
 void rst_entry_count_outcome (struct rst_entry *entry, uint64_t outcome);
-void rst_entry_answer_refusal (struct rst_entry *entry, void *handle,
-                               unsigned status, uint64_t outcome,
-                               const char *reason, const char *detail);
-struct scheduler_peer *rst_entry_peer_by_link (struct rst_entry *entry,
-                                               uint64_t link);
-void rst_entry_forget_pending (struct rst_entry *entry,
-                               struct pending *pending);
-void rst_entry_end_refused (struct rst_entry *entry, struct pending *pending,
+void rst_entry_reply_error (struct rst_entry *entry, void *handle,
                             unsigned status, uint64_t outcome,
                             const char *reason, const char *detail);
+struct scheduler_peer *rst_entry_find_peer (struct rst_entry *entry,
+                                            uint64_t link);
+void rst_entry_remove_pending (struct rst_entry *entry,
+                               struct pending *pending);
+void rst_entry_fail_pending (struct rst_entry *entry, struct pending *pending,
+                             unsigned status, uint64_t outcome,
+                             const char *reason, const char *detail);
 /* entry_send.c */
 void rst_entry_route_query (struct rst_entry *entry, struct pending *pending);
 void rst_entry_route_job (struct rst_entry *entry, struct pending *pending);
-bool rst_entry_retry (struct rst_entry *entry, struct pending *pending);
+bool rst_entry_retry_pending (struct rst_entry *entry,
+                              struct pending *pending);
 
 #endif
--- a/src/coordination/entry_request.c
+++ b/src/coordination/entry_request.c
@@ -14,19 +14,21 @@
 #define DEADLINE_GRACE_MS 1000
 
 /** Bound on a call about jobs. */
-#define JOB_CALL_MS 10000
+#define JOB_CALL_TIMEOUT_MS 10000
 
 /** Word before the key in the Authorization header. */
-#define BEARER "Bearer "
+#define BEARER_PREFIX "Bearer "
 
 static const struct rst_team *
-team_of (const struct rst_entry *entry, const char *authorization)
+find_team_by_key (const struct rst_entry *entry, const char *authorization)
 {
-  if (authorization == NULL || !g_str_has_prefix (authorization, BEARER))
+  if (authorization == NULL
+      || !g_str_has_prefix (authorization, BEARER_PREFIX))
     return NULL;
-  if (RST_FAULT (RST_FAULT_WITHDRAWN_KEY))
+  if (RST_FAULT (RST_FAULT_ACCEPT_WITHDRAWN_KEY))
     {
-      char **parts = g_strsplit (authorization + strlen (BEARER), "/", 2);
+      char **parts
+          = g_strsplit (authorization + strlen (BEARER_PREFIX), "/", 2);
       const struct rst_team *team
           = rst_settings_team (entry->settings, parts[0]);
 
@@ -34,13 +36,13 @@
       return team;
     }
   return rst_settings_key_team (entry->settings,
-                                authorization + strlen (BEARER));
+                                authorization + strlen (BEARER_PREFIX));
 }
 
 /* Reads the headers of a query.  Returns the problem, or NULL. */
 static const char *
-read_headers (const struct rst_entry_request *request, struct rst_query *out,
-              rst_ms *deadline_ms)
+parse_query_headers (const struct rst_entry_request *request,
+                     struct rst_query *out, rst_ms *deadline_ms)
 {
   guint64 number;
 
@@ -75,27 +77,27 @@
 
   pending->id = ++entry->next_id;
   pending->handle = handle;
-  pending->deadline = rst_entry_entry_now (entry) + deadline_ms;
-  pending->give_up_at = pending->deadline + DEADLINE_GRACE_MS;
+  pending->deadline = rst_entry_now (entry) + deadline_ms;
+  pending->expires_at = pending->deadline + DEADLINE_GRACE_MS;
   g_hash_table_insert (entry->pending, &pending->id, pending);
   return pending;
 }
 
 static void
-take_query (struct rst_entry *entry, void *handle,
-            const struct rst_entry_request *request,
-            const struct rst_team *team)
+accept_query (struct rst_entry *entry, void *handle,
+              const struct rst_entry_request *request,
+              const struct rst_team *team)
 {
   struct rst_query query = { 0 };
   struct pending *pending;
   rst_ms deadline_ms;
-  const char *problem = read_headers (request, &query, &deadline_ms);
+  const char *problem = parse_query_headers (request, &query, &deadline_ms);
   rst_ms bound = rst_settings_cell (entry->settings)->max_deadline_ms;
 
   if (problem != NULL)
     {
-      rst_entry_answer_refusal (entry, handle, 400, RST_NOT_RUN, "bad-request",
-                                problem);
+      rst_entry_reply_error (entry, handle, 400, RST_NOT_RUN, "bad-request",
+                             problem);
       return;
     }
   pending = add_pending (entry, handle, MIN (deadline_ms, bound));
@@ -110,13 +112,13 @@
   rst_blob_set (&query.body, request->body, request->length);
   pending->message.type = RST_QUERY;
   pending->message.query = query;
-  rst_budget_earn (&entry->retry_budget);
+  rst_retry_budget_add_request (&entry->retry_budget);
   rst_entry_route_query (entry, pending);
 }
 
 /* The id of a submitted job, from its body or made here. */
 static char *
-job_id (struct rst_entry *entry, const struct rst_entry_request *request)
+make_job_id (struct rst_entry *entry, const struct rst_entry_request *request)
 {
   struct json_object *root;
   char *id = NULL;
@@ -136,26 +138,27 @@
 }
 
 static void
-take_job (struct rst_entry *entry, void *handle,
-          const struct rst_entry_request *request, const struct rst_team *team)
+accept_job_call (struct rst_entry *entry, void *handle,
+                 const struct rst_entry_request *request,
+                 const struct rst_team *team)
 {
   struct rst_job_call *call;
   struct pending *pending;
-  char *id = job_id (entry, request);
-  bool listed = request->operation == RST_JOB_LIST;
+  char *id = make_job_id (entry, request);
+  bool is_list = request->operation == RST_JOB_LIST;
 
-  if (!listed
+  if (!is_list
       && (strlen (id) == 0 || strlen (id) > RST_JOB_ID_MAX
           || strspn (id, G_CSET_A_2_Z G_CSET_a_2_z G_CSET_DIGITS "-_.")
                  != strlen (id)))
     {
-      rst_entry_answer_refusal (
+      rst_entry_reply_error (
           entry, handle, 400, RST_NOT_RUN, "bad-request",
           "id: must have 1 to 36 letters, digits, '-', '_', '.'");
       g_free (id);
       return;
     }
-  pending = add_pending (entry, handle, JOB_CALL_MS);
+  pending = add_pending (entry, handle, JOB_CALL_TIMEOUT_MS);
   pending->message.type = RST_JOB_CALL;
   call = &pending->message.job_call;
   call->operation = request->operation;
@@ -167,34 +170,34 @@
 }
 
 void
-rst_entry_request (struct rst_entry *entry, void *handle,
-                   const struct rst_entry_request *request)
+rst_entry_handle_request (struct rst_entry *entry, void *handle,
+                          const struct rst_entry_request *request)
 {
   const struct rst_team *team;
 
   entry->counters.requests++;
   if (entry->stopping || rst_settings_newest (entry->settings) == 0)
     {
-      rst_entry_answer_refusal (entry, handle, 503, RST_NOT_RUN, "not-ready",
-                                "this entry takes no requests now");
+      rst_entry_reply_error (entry, handle, 503, RST_NOT_RUN, "not-ready",
+                             "this entry takes no requests now");
       return;
     }
-  team = team_of (entry, request->key);
+  team = find_team_by_key (entry, request->key);
   if (team == NULL)
     {
       entry->counters.unauthorized++;
-      rst_entry_answer_refusal (entry, handle, 401, RST_NOT_RUN,
-                                "unauthorized", "Authorization: no valid key");
+      rst_entry_reply_error (entry, handle, 401, RST_NOT_RUN, "unauthorized",
+                             "Authorization: no valid key");
       return;
     }
-  if (rst_entry_pending (entry) >= entry->config.max_pending)
+  if (rst_entry_count_pending (entry) >= entry->config.max_pending)
     {
-      rst_entry_answer_refusal (entry, handle, 429, RST_NOT_RUN, "overload",
-                                "too many requests are waiting here");
+      rst_entry_reply_error (entry, handle, 429, RST_NOT_RUN, "overload",
+                             "too many requests are waiting here");
       return;
     }
   if (request->operation == 0)
-    take_query (entry, handle, request, team);
+    accept_query (entry, handle, request, team);
   else
-    take_job (entry, handle, request, team);
+    accept_job_call (entry, handle, request, team);
 }
--- a/src/coordination/entry_send.c
+++ b/src/coordination/entry_send.c
@@ -11,28 +11,30 @@
 #define ATTEMPTS_MAX 3
 
 /** A link that was silent for longer is not proven alive. */
-#define LINK_PROVEN_MS 1500
+#define LINK_ALIVE_MS 1500
 
 static bool
 is_candidate (const struct rst_entry *entry, const struct scheduler_peer *peer,
               const struct pending *pending)
 {
-  bool proven = rst_entry_entry_now (entry) - peer->heard_at <= LINK_PROVEN_MS;
+  bool is_alive
+      = rst_entry_now (entry) - peer->last_message_at <= LINK_ALIVE_MS;
 
   bool query = pending->message.type == RST_QUERY;
 
-  if (!peer->known || !peer->open || !peer->has_load || !peer->load.ready
-      || peer->link == pending->link || (query && peer->load.slots_total == 0)
+  if (!peer->is_scheduler || !peer->open || !peer->has_load
+      || !peer->load.ready || peer->link == pending->link
+      || (query && peer->load.slots_total == 0)
       || rst_settings_zone_out (entry->settings, peer->zone))
     return false;
-  return proven || (query && pending->message.query.idempotent);
+  return is_alive || (query && pending->message.query.idempotent);
 }
 
 static int64_t
-room_at (const struct scheduler_peer *peer)
+get_free_slots (const struct scheduler_peer *peer)
 {
   return (int64_t)peer->load.slots_free - (int64_t)peer->load.queued
-         - peer->sent_since_load;
+         - peer->sent_since_load_report;
 }
 
 /* Whether @a is a better place than @b; room in the own zone comes first. */
@@ -40,8 +42,8 @@
 is_better (const struct rst_entry *entry, const struct scheduler_peer *a,
            const struct scheduler_peer *b)
 {
-  int64_t room_a = room_at (a);
-  int64_t room_b = room_at (b);
+  int64_t room_a = get_free_slots (a);
+  int64_t room_b = get_free_slots (b);
   bool own_a = strcmp (a->zone, entry->config.zone) == 0 && room_a > 0;
   bool own_b = strcmp (b->zone, entry->config.zone) == 0 && room_b > 0;
 
@@ -81,7 +83,7 @@
 /* The scheduler that keeps the record of a request or job: the same for
    every entry that holds the same ownership records. */
 static struct scheduler_peer *
-home_scheduler (struct rst_entry *entry, const char *team, const char *id)
+find_home_scheduler (struct rst_entry *entry, const char *team, const char *id)
 {
   GPtrArray *names = g_ptr_array_new ();
   char *key = g_strdup_printf ("%s/%s", team, id);
@@ -91,14 +93,14 @@
   int pick;
 
   rst_settings_records (entry->settings, collect_members, names);
-  pick = rst_rendezvous (key, (const char *const *)names->pdata,
-                         (int)names->len);
+  pick = rst_rendezvous_pick (key, (const char *const *)names->pdata,
+                              (int)names->len);
   g_hash_table_iter_init (&iterator, entry->peers);
   while (pick >= 0 && g_hash_table_iter_next (&iterator, NULL, &value))
     {
       struct scheduler_peer *peer = value;
 
-      if (peer->known && peer->open
+      if (peer->is_scheduler && peer->open
           && strcmp (peer->incarnation, names->pdata[pick]) == 0)
         home = peer;
     }
@@ -108,8 +110,8 @@
 }
 
 static void
-log_routed (const struct rst_entry *entry, const struct pending *pending,
-            const struct scheduler_peer *peer, const char *reason)
+log_route (const struct rst_entry *entry, const struct pending *pending,
+           const struct scheduler_peer *peer, const char *reason)
 {
   const struct rst_message *message = &pending->message;
   bool query = message->type == RST_QUERY;
@@ -130,13 +132,13 @@
   message.id = pending->id;
   if (message.type == RST_QUERY)
     message.query.deadline_ms
-        = (uint64_t)MAX (pending->deadline - rst_entry_entry_now (entry), 1);
+        = (uint64_t)MAX (pending->deadline - rst_entry_now (entry), 1);
   if (!entry->links->send (entry->links_data, peer->link, &message))
     return false;
   pending->link = peer->link;
   pending->attempts++;
-  peer->sent_since_load++;
-  log_routed (entry, pending, peer, reason);
+  peer->sent_since_load_report++;
+  log_route (entry, pending, peer, reason);
   return true;
 }
 
@@ -147,14 +149,14 @@
   bool keyed = pending->message.query.keyed;
 
   if (keyed)
-    peer = home_scheduler (entry, pending->message.query.team,
-                           pending->message.query.request_id);
+    peer = find_home_scheduler (entry, pending->message.query.team,
+                                pending->message.query.request_id);
   else
     peer = choose_scheduler (entry, pending);
   if (peer == NULL
       || !send_to (entry, pending, peer, keyed ? "home" : "most-room"))
-    rst_entry_end_refused (entry, pending, 503, RST_NOT_RUN, "no-scheduler",
-                           "no scheduler can take the request now");
+    rst_entry_fail_pending (entry, pending, 503, RST_NOT_RUN, "no-scheduler",
+                            "no scheduler can take the request now");
 }
 
 void
@@ -164,22 +166,22 @@
   struct scheduler_peer *peer
       = call->operation == RST_JOB_LIST
             ? choose_scheduler (entry, pending)
-            : home_scheduler (entry, call->team, call->job);
+            : find_home_scheduler (entry, call->team, call->job);
 
   if (peer == NULL || !send_to (entry, pending, peer, "home"))
-    rst_entry_end_refused (entry, pending, 503, RST_NOT_RUN, "no-scheduler",
-                           "the job's scheduler cannot be reached now");
+    rst_entry_fail_pending (entry, pending, 503, RST_NOT_RUN, "no-scheduler",
+                            "the job's scheduler cannot be reached now");
 }
 
 /* Tries a request again that did not run, or that may run twice. */
 bool
-rst_entry_retry (struct rst_entry *entry, struct pending *pending)
+rst_entry_retry_pending (struct rst_entry *entry, struct pending *pending)
 {
   if (pending->message.type != RST_QUERY || pending->message.query.keyed
       || pending->attempts >= ATTEMPTS_MAX || entry->stopping
-      || rst_entry_entry_now (entry) >= pending->deadline
+      || rst_entry_now (entry) >= pending->deadline
       || choose_scheduler (entry, pending) == NULL
-      || !rst_budget_spend (&entry->retry_budget))
+      || !rst_retry_budget_take_retry (&entry->retry_budget))
     return false;
   entry->counters.retries++;
   rst_entry_route_query (entry, pending);
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -12,7 +12,7 @@
 }
 
 void
-rst_lease_renewed (struct rst_lease *lease, rst_ms sent_at)
+rst_lease_record_renewal (struct rst_lease *lease, rst_ms sent_at)
 {
   rst_ms until = sent_at + lease->ttl_ms - lease->margin_ms;
 
@@ -27,7 +27,7 @@
 }
 
 bool
-rst_lease_held (const struct rst_lease *lease, rst_ms now)
+rst_lease_is_held (const struct rst_lease *lease, rst_ms now)
 {
   return now < lease->valid_until;
 }
--- a/src/coordination/limit.c
+++ b/src/coordination/limit.c
@@ -22,18 +22,18 @@
   root = rst_json_parse (text);
   list = rst_json_array (root, "parts");
   count = list != NULL ? json_object_array_length (list) : 0;
-  if (list == NULL || count > RST_PARTS_MAX)
+  if (list == NULL || count > RST_LIMIT_PARTS_MAX)
     goto done;
   for (size_t i = 0; i < count; i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
-      struct rst_part *part = &out->parts[i];
+      struct rst_limit_part *part = &out->parts[i];
 
       if (!rst_json_copy_text (item, "holder", part->holder, RST_NAME_SIZE))
         goto done;
       part->granted = (uint32_t)rst_json_number (item, "granted", 0);
       part->wanted = (uint32_t)rst_json_number (item, "wanted", 0);
-      part->write = (uint64_t)rst_json_number (item, "write", 0);
+      part->write_number = (uint64_t)rst_json_number (item, "write", 0);
     }
   out->part_count = (int)count;
   error = RST_OK;
@@ -56,7 +56,8 @@
       rst_json_set_text (item, "holder", limit->parts[i].holder);
       rst_json_set_number (item, "granted", limit->parts[i].granted);
       rst_json_set_number (item, "wanted", limit->parts[i].wanted);
-      rst_json_set_number (item, "write", (int64_t)limit->parts[i].write);
+      rst_json_set_number (item, "write",
+                           (int64_t)limit->parts[i].write_number);
       json_object_array_add (list, item);
     }
   json_object_object_add (root, "parts", list);
@@ -64,7 +65,7 @@
 }
 
 uint32_t
-rst_limit_granted (const struct rst_limit *limit)
+rst_limit_sum_granted (const struct rst_limit *limit)
 {
   uint32_t sum = 0;
 
@@ -73,8 +74,8 @@
   return sum;
 }
 
-struct rst_part *
-rst_limit_find (struct rst_limit *limit, const char *holder)
+struct rst_limit_part *
+rst_limit_find_part (struct rst_limit *limit, const char *holder)
 {
   for (int i = 0; i < limit->part_count; i++)
     if (strcmp (limit->parts[i].holder, holder) == 0)
@@ -83,17 +84,17 @@
 }
 
 int
-rst_limit_request (struct rst_limit *limit, const char *holder,
-                   uint32_t upper_limit, uint32_t more)
+rst_limit_grow_part (struct rst_limit *limit, const char *holder,
+                     uint32_t upper_limit, uint32_t more)
 {
-  struct rst_part *part = rst_limit_find (limit, holder);
-  uint32_t granted = rst_limit_granted (limit);
+  struct rst_limit_part *part = rst_limit_find_part (limit, holder);
+  uint32_t granted = rst_limit_sum_granted (limit);
   uint32_t left = upper_limit > granted ? upper_limit - granted : 0;
   uint32_t grant = MIN (left, more);
 
   if (part == NULL)
     {
-      if (limit->part_count == RST_PARTS_MAX)
+      if (limit->part_count == RST_LIMIT_PARTS_MAX)
         return RST_ERROR_FULL;
       part = &limit->parts[limit->part_count++];
       memset (part, 0, sizeof *part);
@@ -105,10 +106,10 @@
 }
 
 int
-rst_limit_shrink (struct rst_limit *limit, const char *holder,
-                  uint32_t granted)
+rst_limit_shrink_part (struct rst_limit *limit, const char *holder,
+                       uint32_t granted)
 {
-  struct rst_part *part = rst_limit_find (limit, holder);
+  struct rst_limit_part *part = rst_limit_find_part (limit, holder);
 
   if (part == NULL)
     return RST_ERROR_NOT_FOUND;
@@ -118,19 +119,20 @@
 
 /* Rounds down, so that all targets together stay within the limit. */
 static uint32_t
-proportional (uint32_t granted, uint32_t upper_limit, uint32_t sum)
+scale_part (uint32_t granted, uint32_t upper_limit, uint32_t sum)
 {
   return (uint32_t)((uint64_t)granted * upper_limit / sum);
 }
 
 uint32_t
-rst_limit_target (const struct rst_limit *limit, const char *holder,
-                  uint32_t upper_limit, uint32_t used, uint32_t wanted)
+rst_limit_get_target_part (const struct rst_limit *limit, const char *holder,
+                           uint32_t upper_limit, uint32_t used,
+                           uint32_t wanted)
 {
   struct rst_limit *record = (struct rst_limit *)limit;
-  const struct rst_part *part = rst_limit_find (record, holder);
-  uint32_t sum = rst_limit_granted (limit);
-  uint32_t others_want = 0;
+  const struct rst_limit_part *part = rst_limit_find_part (record, holder);
+  uint32_t sum = rst_limit_sum_granted (limit);
+  uint32_t others_wanted = 0;
   uint32_t target;
   uint32_t unused;
 
@@ -138,12 +140,12 @@
     return 0;
   for (int i = 0; i < limit->part_count; i++)
     if (&limit->parts[i] != part)
-      others_want += limit->parts[i].wanted;
+      others_wanted += limit->parts[i].wanted;
   target = part->granted;
   if (sum > upper_limit)
-    return proportional (target, upper_limit, sum);
-  if (others_want == 0 || sum < upper_limit)
+    return scale_part (target, upper_limit, sum);
+  if (others_wanted == 0 || sum < upper_limit)
     return target;
   unused = target > used + wanted ? target - used - wanted : 0;
-  return target - MIN ((unused + 1) / 2, others_want);
+  return target - MIN ((unused + 1) / 2, others_wanted);
 }
--- a/src/coordination/ownership.c
+++ b/src/coordination/ownership.c
@@ -50,7 +50,7 @@
 
 /* Index of the first instance whose name is not less than @instance. */
 static int
-lower_bound (const struct rst_zone *zone, const char *instance)
+find_lower_bound (const struct rst_zone *zone, const char *instance)
 {
   int low = 0;
   int high = zone->owned_count;
@@ -67,10 +67,10 @@
   return low;
 }
 
-static struct rst_owned *
+static struct rst_ownership *
 find_owned (const struct rst_zone *zone, const char *instance)
 {
-  int at = lower_bound (zone, instance);
+  int at = find_lower_bound (zone, instance);
 
   if (at < zone->owned_count
       && strcmp (zone->owned[at].instance, instance) == 0)
@@ -78,16 +78,16 @@
   return NULL;
 }
 
-static struct rst_owned *
+static struct rst_ownership *
 add_owned (struct rst_zone *zone, const char *instance)
 {
-  int at = lower_bound (zone, instance);
-  struct rst_owned *owned;
+  int at = find_lower_bound (zone, instance);
+  struct rst_ownership *owned;
 
   if (zone->owned_count == zone->owned_capacity)
     {
       int capacity = zone->owned_capacity > 0 ? 2 * zone->owned_capacity : 16;
-      struct rst_owned *grown
+      struct rst_ownership *grown
           = realloc (zone->owned, (size_t)capacity * sizeof *grown);
 
       if (grown == NULL)
@@ -116,14 +116,14 @@
   return NULL;
 }
 
-const struct rst_owned *
-rst_zone_find_owned (const struct rst_zone *zone, const char *instance)
+const struct rst_ownership *
+rst_zone_find_ownership (const struct rst_zone *zone, const char *instance)
 {
   return find_owned (zone, instance);
 }
 
 static void
-set_owner (struct rst_owned *owned, const char *owner)
+set_owner (struct rst_ownership *owned, const char *owner)
 {
   g_strlcpy (owned->owner, owner, RST_NAME_SIZE);
   if (owner[0] != '\0')
@@ -191,7 +191,7 @@
 }
 
 int
-rst_rendezvous (const char *key, const char *const *names, int count)
+rst_rendezvous_pick (const char *key, const char *const *names, int count)
 {
   int best = -1;
   uint64_t best_score = 0;
@@ -211,14 +211,15 @@
 }
 
 const struct rst_member *
-rst_zone_proposed (const struct rst_zone *zone, const char *instance)
+rst_zone_get_preferred_owner (const struct rst_zone *zone,
+                              const char *instance)
 {
   const char *names[RST_MEMBERS_MAX];
   int pick;
 
   for (int i = 0; i < zone->member_count; i++)
     names[i] = zone->members[i].incarnation;
-  pick = rst_rendezvous (instance, names, zone->member_count);
+  pick = rst_rendezvous_pick (instance, names, zone->member_count);
   return pick >= 0 ? &zone->members[pick] : NULL;
 }
 
@@ -236,7 +237,7 @@
 /* Most instances that one member should own: hashing alone would leave some
    members with much more than others. */
 static int
-fair_bound (const struct rst_zone *zone)
+get_fair_share (const struct rst_zone *zone)
 {
   if (zone->member_count == 0)
     return 0;
@@ -244,8 +245,8 @@
 }
 
 int
-rst_zone_claim (struct rst_zone *zone, const char *incarnation,
-                const char *const *instances, int count)
+rst_zone_claim_instances (struct rst_zone *zone, const char *incarnation,
+                          const char *const *instances, int count)
 {
   int claimed = 0;
   int held;
@@ -257,17 +258,18 @@
   held = count_owned (zone, incarnation);
   for (int i = 0; i < count; i++)
     {
-      struct rst_owned *owned = find_owned (zone, instances[i]);
+      struct rst_ownership *owned = find_owned (zone, instances[i]);
       const struct rst_member *member;
 
       if (owned->owner[0] != '\0')
         continue;
-      member = rst_zone_proposed (zone, instances[i]);
+      member = rst_zone_get_preferred_owner (zone, instances[i]);
       if (member == NULL)
         continue;
       if (strcmp (member->incarnation, incarnation) != 0
-          && (held >= fair_bound (zone)
-              || count_owned (zone, member->incarnation) < fair_bound (zone)))
+          && (held >= get_fair_share (zone)
+              || count_owned (zone, member->incarnation)
+                     < get_fair_share (zone)))
         continue;
       set_owner (owned, incarnation);
       held++;
@@ -277,20 +279,21 @@
 }
 
 int
-rst_zone_yield (struct rst_zone *zone, const char *incarnation, int max_moves)
+rst_zone_release_excess (struct rst_zone *zone, const char *incarnation,
+                         int max_moves)
 {
   int released = 0;
   int held = count_owned (zone, incarnation);
-  int bound = fair_bound (zone);
+  int bound = get_fair_share (zone);
 
   for (int i = 0; i < zone->owned_count && released < max_moves; i++)
     {
-      struct rst_owned *owned = &zone->owned[i];
+      struct rst_ownership *owned = &zone->owned[i];
       const struct rst_member *member;
 
       if (held <= bound || strcmp (owned->owner, incarnation) != 0)
         continue;
-      member = rst_zone_proposed (zone, owned->instance);
+      member = rst_zone_get_preferred_owner (zone, owned->instance);
       if (member == NULL
           || (strcmp (member->incarnation, incarnation) == 0
               && held <= bound + 1))
@@ -303,9 +306,10 @@
 }
 
 int
-rst_zone_give (struct rst_zone *zone, const char *instance, const char *owner)
+rst_zone_hand_over (struct rst_zone *zone, const char *instance,
+                    const char *owner)
 {
-  struct rst_owned *owned = find_owned (zone, instance);
+  struct rst_ownership *owned = find_owned (zone, instance);
 
   if (owned == NULL)
     return RST_ERROR_NOT_FOUND;
@@ -314,10 +318,10 @@
 }
 
 int
-rst_zone_settle (struct rst_zone *zone, const char *instance,
-                 const char *owner)
+rst_zone_mark_settled (struct rst_zone *zone, const char *instance,
+                       const char *owner)
 {
-  struct rst_owned *owned = find_owned (zone, instance);
+  struct rst_ownership *owned = find_owned (zone, instance);
 
   if (owned == NULL)
     return RST_ERROR_NOT_FOUND;
@@ -328,9 +332,9 @@
 }
 
 int
-rst_zone_forget (struct rst_zone *zone, const char *instance)
+rst_zone_remove_instance (struct rst_zone *zone, const char *instance)
 {
-  struct rst_owned *owned = find_owned (zone, instance);
+  struct rst_ownership *owned = find_owned (zone, instance);
   int at;
 
   if (owned == NULL)
@@ -402,7 +406,7 @@
     {
       struct json_object *item = json_object_array_get_idx (list, i);
       const char *name = rst_json_text (item, "name");
-      struct rst_owned *owned;
+      struct rst_ownership *owned;
 
       if (name == NULL || strlen (name) >= RST_NAME_SIZE
           || find_owned (zone, name) != NULL)
@@ -434,7 +438,7 @@
       || !parse_members (root, zone) || !parse_departed (root, zone)
       || !parse_instances (root, zone))
     goto fail;
-  zone->write = (uint64_t)rst_json_number (root, "write", 0);
+  zone->write_number = (uint64_t)rst_json_number (root, "write", 0);
   zone->revision = revision;
   json_object_put (root);
   *out = zone;
@@ -500,7 +504,7 @@
 
   rst_json_set_text (root, "zone", zone->zone);
   rst_json_set_text (root, "writer", zone->writer);
-  rst_json_set_number (root, "write", (int64_t)zone->write);
+  rst_json_set_number (root, "write", (int64_t)zone->write_number);
   json_object_object_add (root, "members", format_members (zone));
   json_object_object_add (root, "departed", format_departed (zone));
   json_object_object_add (root, "instances", format_instances (zone));
--- a/src/coordination/retry.c
+++ b/src/coordination/retry.c
@@ -1,34 +1,34 @@
 #include "rosemarystile.h"
 
 /** Thousandths that pay for one retry. */
-#define BUDGET_UNIT 1000
+#define PERMILLE_PER_RETRY 1000
 
 /** Bound on how often the open time of a breaker is doubled. */
-#define BREAKER_DOUBLINGS 5
+#define BREAKER_DOUBLINGS_MAX 5
 
 void
-rst_budget_init (struct rst_budget *budget, int32_t per_request,
-                 int32_t max_retries)
+rst_retry_budget_init (struct rst_retry_budget *budget,
+                       int32_t per_request_permille, int32_t max_retries)
 {
-  budget->per_request = per_request;
-  budget->max_tokens = max_retries * BUDGET_UNIT;
-  budget->tokens = budget->max_tokens;
+  budget->per_request_permille = per_request_permille;
+  budget->max_balance_permille = max_retries * PERMILLE_PER_RETRY;
+  budget->balance_permille = budget->max_balance_permille;
 }
 
 void
-rst_budget_earn (struct rst_budget *budget)
+rst_retry_budget_add_request (struct rst_retry_budget *budget)
 {
-  budget->tokens += budget->per_request;
-  if (budget->tokens > budget->max_tokens)
-    budget->tokens = budget->max_tokens;
+  budget->balance_permille += budget->per_request_permille;
+  if (budget->balance_permille > budget->max_balance_permille)
+    budget->balance_permille = budget->max_balance_permille;
 }
 
 bool
-rst_budget_spend (struct rst_budget *budget)
+rst_retry_budget_take_retry (struct rst_retry_budget *budget)
 {
-  if (budget->tokens < BUDGET_UNIT)
+  if (budget->balance_permille < PERMILLE_PER_RETRY)
     return false;
-  budget->tokens -= BUDGET_UNIT;
+  budget->balance_permille -= PERMILLE_PER_RETRY;
   return true;
 }
 
@@ -44,7 +44,7 @@
 }
 
 bool
-rst_breaker_allows (const struct rst_breaker *breaker, rst_ms now)
+rst_breaker_allows_request (const struct rst_breaker *breaker, rst_ms now)
 {
   if (breaker->open_until == 0)
     return true;
@@ -52,16 +52,16 @@
 }
 
 void
-rst_breaker_sent (struct rst_breaker *breaker)
+rst_breaker_record_request (struct rst_breaker *breaker)
 {
   if (breaker->open_until != 0)
     breaker->probing = true;
 }
 
 void
-rst_breaker_result (struct rst_breaker *breaker, bool ok, rst_ms now)
+rst_breaker_record_result (struct rst_breaker *breaker, bool ok, rst_ms now)
 {
-  uint32_t beyond;
+  uint32_t doublings;
 
   breaker->probing = false;
   if (ok)
@@ -73,8 +73,8 @@
   breaker->failures++;
   if (breaker->failures < breaker->threshold)
     return;
-  beyond = breaker->failures - breaker->threshold;
-  if (beyond > BREAKER_DOUBLINGS)
-    beyond = BREAKER_DOUBLINGS;
-  breaker->open_until = now + breaker->open_ms * ((rst_ms)1 << beyond);
+  doublings = breaker->failures - breaker->threshold;
+  if (doublings > BREAKER_DOUBLINGS_MAX)
+    doublings = BREAKER_DOUBLINGS_MAX;
+  breaker->open_until = now + breaker->open_ms * ((rst_ms)1 << doublings);
 }
--- a/src/coordination/sched_instance.c
+++ b/src/coordination/sched_instance.c
@@ -14,85 +14,85 @@
 #define BREAKER_FAILURES 3
 
 /** First time for which a failing instance gets no work. */
-#define BREAKER_OPEN_MS 2000
+#define BREAKER_FIRST_OPEN_MS 2000
 
 bool
-sched_instance_usable (const struct rst_scheduler *sched,
-                       const struct instance *instance)
+sched_instance_is_usable (const struct rst_scheduler *sched,
+                          const struct instance *instance)
 {
-  return instance->phase == INSTANCE_READY && !instance->yielding
+  return instance->phase == INSTANCE_READY && !instance->releasing
          && instance->listed
-         && (!instance->info.leaving || RST_FAULT (RST_FAULT_LEAVING))
-         && rst_breaker_allows (&instance->breaker, sched_now (sched));
+         && (!instance->info.leaving || RST_FAULT (RST_FAULT_START_ON_LEAVING))
+         && rst_breaker_allows_request (&instance->breaker, sched_now (sched));
 }
 
 static void
-count_work (struct work *work, int sign)
+update_usage (struct run *run, int sign)
 {
-  struct instance *instance = work->instance;
+  struct instance *instance = run->instance;
 
   if (instance->info.kind == RST_RUNNER)
     instance->slots_used += sign;
-  instance->cpu_used += sign * work->info.cpu;
-  instance->memory_used += sign * work->info.memory_mb;
-  instance->accelerators_used += sign * work->info.accelerators;
-  work->team->used = (uint32_t)((int)work->team->used + sign);
+  instance->cpu_used += sign * run->info.cpu;
+  instance->memory_used += sign * run->info.memory_mb;
+  instance->accelerators_used += sign * run->info.accelerators;
+  run->team->run_count = (uint32_t)((int)run->team->run_count + sign);
   instance->sched->load_changed = true;
 }
 
-struct work *
-sched_work_add (struct instance *instance, const struct rst_work *info)
+struct run *
+sched_run_add (struct instance *instance, const struct rst_work *info)
 {
-  struct work *work = g_new0 (struct work, 1);
-
-  work->info = *info;
-  work->instance = instance;
-  work->team = sched_team (instance->sched, info->team);
-  work->started_at = sched_now (instance->sched);
-  CK_LIST_INSERT_HEAD (&instance->work, work, entry);
-  work->counted = true;
-  count_work (work, 1);
+  struct run *run = g_new0 (struct run, 1);
+
+  run->info = *info;
+  run->instance = instance;
+  run->team = sched_team_get (instance->sched, info->team);
+  run->started_at = sched_now (instance->sched);
+  CK_LIST_INSERT_HEAD (&instance->runs, run, entry);
+  run->counted = true;
+  update_usage (run, 1);
   if (info->job[0] != '\0')
-    sched_task_added (work);
-  return work;
+    sched_task_index_run (run);
+  return run;
 }
 
 void
-sched_work_uncount (struct work *work)
+sched_run_release_resources (struct run *run)
 {
-  if (!work->counted)
+  if (!run->counted)
     return;
-  work->counted = false;
-  count_work (work, -1);
+  run->counted = false;
+  update_usage (run, -1);
 }
 
 void
-sched_work_remove (struct work *work)
+sched_run_remove (struct run *run)
 {
-  sched_task_removed (work);
-  sched_work_uncount (work);
-  if (work->instance != NULL)
-    CK_LIST_REMOVE (work, entry);
-  g_free (work);
+  sched_task_unindex_run (run);
+  sched_run_release_resources (run);
+  if (run->instance != NULL)
+    CK_LIST_REMOVE (run, entry);
+  g_free (run);
 }
 
 void
-sched_work_end (struct work *work, uint64_t result)
+sched_run_end (struct run *run, uint64_t result)
 {
-  work->info.result = (int64_t)result;
-  work->ended = true;
-  work->end_sent_at = 0;
-  sched_work_uncount (work);
+  run->info.result = (int64_t)result;
+  run->ended = true;
+  run->end_reported_at = 0;
+  sched_run_release_resources (run);
 }
 
-struct work *
-sched_work_find (const struct instance *instance, const char *id)
+struct run *
+sched_run_find (const struct instance *instance, const char *id)
 {
-  struct work *work;
+  struct run *run;
 
-  CK_LIST_FOREACH (work, &instance->work, entry)
-  if (strcmp (work->info.id, id) == 0)
-    return work;
+  CK_LIST_FOREACH (run, &instance->runs, entry)
+  if (strcmp (run->info.id, id) == 0)
+    return run;
   return NULL;
 }
 
@@ -100,15 +100,15 @@
 sched_instance_free (gpointer data)
 {
   struct instance *instance = data;
-  struct work *work;
+  struct run *run;
 
-  while ((work = CK_LIST_FIRST (&instance->work)) != NULL)
-    sched_work_remove (work);
+  while ((run = CK_LIST_FIRST (&instance->runs)) != NULL)
+    sched_run_remove (run);
   g_free (instance);
 }
 
 static struct instance *
-find_or_add (struct rst_scheduler *sched, const char *name)
+find_or_add_instance (struct rst_scheduler *sched, const char *name)
 {
   struct instance *instance = g_hash_table_lookup (sched->instances, name);
 
@@ -117,45 +117,46 @@
   instance = g_new0 (struct instance, 1);
   instance->sched = sched;
   g_strlcpy (instance->info.name, name, RST_NAME_SIZE);
-  CK_LIST_INIT (&instance->work);
-  rst_breaker_init (&instance->breaker, BREAKER_FAILURES, BREAKER_OPEN_MS);
+  CK_LIST_INIT (&instance->runs);
+  rst_breaker_init (&instance->breaker, BREAKER_FAILURES,
+                    BREAKER_FIRST_OPEN_MS);
   g_hash_table_insert (sched->instances, instance->info.name, instance);
   return instance;
 }
 
 /* Detaches work that a call under way still refers to; frees the rest. */
 static void
-release_work (struct instance *instance, bool keep_away)
+release_runs (struct instance *instance, bool count_handed_over)
 {
-  struct work *work = CK_LIST_FIRST (&instance->work);
+  struct run *run = CK_LIST_FIRST (&instance->runs);
 
-  while (work != NULL)
+  while (run != NULL)
     {
-      struct work *next = CK_LIST_NEXT (work, entry);
-
-      if (work->counted && keep_away)
-        sched_limit_away (work->team, instance->info.name);
-      sched_task_removed (work);
-      sched_work_uncount (work);
-      CK_LIST_REMOVE (work, entry);
-      if (work->calls > 0)
-        work->instance = NULL;
+      struct run *next = CK_LIST_NEXT (run, entry);
+
+      if (run->counted && count_handed_over)
+        sched_limit_add_handed_over (run->team, instance->info.name);
+      sched_task_unindex_run (run);
+      sched_run_release_resources (run);
+      CK_LIST_REMOVE (run, entry);
+      if (run->pending_calls > 0)
+        run->instance = NULL;
       else
-        g_free (work);
-      work = next;
+        g_free (run);
+      run = next;
     }
 }
 
 static void
-drop_instance (struct instance *instance, bool keep_away)
+drop_instance (struct instance *instance, bool count_handed_over)
 {
-  if (instance->phase == INSTANCE_FOREIGN)
+  if (instance->phase == INSTANCE_NOT_OWNED)
     return;
   rst_info (LOG_PREFIX, "Instance is no longer owned.", "instance",
             instance->info.name);
-  instance->phase = INSTANCE_FOREIGN;
-  instance->yielding = false;
-  release_work (instance, keep_away);
+  instance->phase = INSTANCE_NOT_OWNED;
+  instance->releasing = false;
+  release_runs (instance, count_handed_over);
   g_ptr_array_remove_fast (instance->sched->owned, instance);
   instance->sched->load_changed = true;
 }
@@ -172,24 +173,24 @@
 {
   struct rst_scheduler *sched = instance->sched;
 
-  if (instance->phase != INSTANCE_FOREIGN)
+  if (instance->phase != INSTANCE_NOT_OWNED)
     drop_instance (instance, false);
   instance->phase = INSTANCE_ADOPTING;
   instance->epoch = epoch;
-  instance->yielding = false;
-  instance->life = sched->life;
-  instance->next_inspect = 0;
-  instance->heard_at = sched_now (sched);
+  instance->releasing = false;
+  instance->incarnation_number = sched->incarnation_number;
+  instance->next_inspect_at = 0;
+  instance->last_report_at = sched_now (sched);
   instance->renewals_failed = 0;
   /* Calls made under the old epoch no longer report here. */
-  instance->inspecting = false;
-  instance->renewing = false;
+  instance->inspection_pending = false;
+  instance->renewal_pending = false;
   g_ptr_array_add (sched->owned, instance);
 }
 
 static void
 apply_owned (struct rst_scheduler *sched, const struct rst_zone *zone,
-             const struct rst_owned *owned)
+             const struct rst_ownership *owned)
 {
   bool mine = strcmp (owned->owner, sched->incarnation) == 0;
   struct instance *instance;
@@ -200,19 +201,19 @@
       /* Work that was handed over, one by one or by a planned stop, counts
          here until the new owner has said that it counts it. */
       if (instance != NULL)
-        drop_instance (instance, instance->yielding || sched->stopping);
+        drop_instance (instance, instance->releasing || sched->stopping);
       return;
     }
-  instance = find_or_add (sched, owned->instance);
-  if (instance->phase == INSTANCE_FOREIGN || instance->epoch != owned->epoch)
+  instance = find_or_add_instance (sched, owned->instance);
+  if (instance->phase == INSTANCE_NOT_OWNED || instance->epoch != owned->epoch)
     begin_adoption (instance, owned->epoch);
-  else if (instance->yielding && zone->revision > instance->yielding_revision)
-    instance->yielding = false;
+  else if (instance->releasing && zone->revision > instance->release_revision)
+    instance->releasing = false;
   instance->settled = owned->settled;
 }
 
 void
-sched_instance_zone_changed (struct rst_scheduler *sched)
+sched_instance_apply_zone (struct rst_scheduler *sched)
 {
   const struct rst_zone *zone = sched_zone (sched);
 
@@ -222,15 +223,16 @@
     {
       struct instance *instance = g_ptr_array_index (sched->owned, i - 1);
 
-      if (rst_zone_find_owned (zone, instance->info.name) == NULL)
+      if (rst_zone_find_ownership (zone, instance->info.name) == NULL)
         drop_instance (instance, false);
     }
 }
 
 static void
-apply_info (struct rst_scheduler *sched, const struct rst_instance_info *info)
+apply_instance_info (struct rst_scheduler *sched,
+                     const struct rst_instance_info *info)
 {
-  struct instance *instance = find_or_add (sched, info->name);
+  struct instance *instance = find_or_add_instance (sched, info->name);
 
   if (instance->listed && instance->info.leaving != info->leaving)
     {
@@ -244,34 +246,34 @@
 }
 
 static void
-on_instances (const struct rst_platform_reply *reply, void *data)
+on_instances_listed (const struct rst_platform_reply *reply, void *data)
 {
   struct rst_scheduler *sched = data;
   GHashTableIter iterator;
   gpointer value;
 
-  sched->list_busy = false;
-  sched->list_next_at = sched_now (sched) + sched->config.list_ms;
+  sched->list_fetch_pending = false;
+  sched->list_next_at = sched_now (sched) + sched->config.list_interval_ms;
   if (reply->result != RST_PLATFORM_OK
       || reply->revision == sched->list_revision)
     return;
-  sched->list_known = true;
+  sched->list_received = true;
   sched->list_revision = reply->revision;
   g_hash_table_iter_init (&iterator, sched->instances);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     ((struct instance *)value)->listed = false;
   for (int i = 0; i < reply->instance_count; i++)
-    apply_info (sched, &reply->instances[i]);
+    apply_instance_info (sched, &reply->instances[i]);
 }
 
 static void
 list_tick (struct rst_scheduler *sched)
 {
-  if (sched->list_busy || sched_now (sched) < sched->list_next_at)
+  if (sched->list_fetch_pending || sched_now (sched) < sched->list_next_at)
     return;
-  sched->list_busy = true;
+  sched->list_fetch_pending = true;
   sched->platform->list_fetch (sched->platform_data, sched->list_revision,
-                               on_instances, sched);
+                               on_instances_listed, sched);
 }
 
 static bool
@@ -301,32 +303,33 @@
   for (int i = 0; present != NULL && i < present->owned_count; i++)
     if (present->owned[i].owner[0] == '\0')
       g_ptr_array_add (names, (gpointer)present->owned[i].instance);
-  count = rst_zone_claim (zone, sched->incarnation,
-                          (const char *const *)names->pdata, (int)names->len);
+  count = rst_zone_claim_instances (zone, sched->incarnation,
+                                    (const char *const *)names->pdata,
+                                    (int)names->len);
   g_ptr_array_free (names, TRUE);
   return count > 0;
 }
 
 static bool
-is_settled_now (const struct instance *instance)
+is_ready_to_settle (const struct instance *instance)
 {
-  const struct work *work;
+  const struct run *run;
 
-  CK_LIST_FOREACH (work, &instance->work, entry)
-  if (work->counted && !sched_limit_covered (work->team))
+  CK_LIST_FOREACH (run, &instance->runs, entry)
+  if (run->counted && !sched_limit_is_covered (run->team))
     return false;
   return instance->phase == INSTANCE_READY;
 }
 
 static bool
-is_gone (const struct instance *instance)
+is_removable (const struct instance *instance)
 {
   const struct rst_scheduler *sched = instance->sched;
 
-  return sched->list_known && !instance->listed
-         && CK_LIST_EMPTY (&instance->work)
-         && sched_now (sched) - instance->heard_at
-                > sched->config.task_lease_ms + LEASE_MARGIN_MS;
+  return sched->list_received && !instance->listed
+         && CK_LIST_EMPTY (&instance->runs)
+         && sched_now (sched) - instance->last_report_at
+                > sched->config.task_lease_ms + TASK_LEASE_MARGIN_MS;
 }
 
 static bool
@@ -338,37 +341,38 @@
     {
       const struct instance *instance = g_ptr_array_index (sched->owned, i);
 
-      if (is_gone (instance))
+      if (is_removable (instance))
         changed
-            = rst_zone_forget (zone, instance->info.name) == RST_OK || changed;
-      else if (!instance->settled && is_settled_now (instance))
-        changed
-            = rst_zone_settle (zone, instance->info.name, sched->incarnation)
-                  == RST_OK
+            = rst_zone_remove_instance (zone, instance->info.name) == RST_OK
               || changed;
+      else if (!instance->settled && is_ready_to_settle (instance))
+        changed = rst_zone_mark_settled (zone, instance->info.name,
+                                         sched->incarnation)
+                      == RST_OK
+                  || changed;
     }
   return changed;
 }
 
 /* Instances that are idle move first; no start happens on one that moves. */
 static bool
-yield_instances (struct rst_scheduler *sched, struct rst_zone *zone)
+release_instances (struct rst_scheduler *sched, struct rst_zone *zone)
 {
   uint64_t revision = zone->revision;
-  int moves
-      = MAX (SCHED_YIELD_MOVES, (int)sched->owned->len / SCHED_YIELD_PART);
-  int moved = rst_zone_yield (zone, sched->incarnation, moves);
+  int moves = MAX (SCHED_REBALANCE_MIN_MOVES,
+                   (int)sched->owned->len / SCHED_REBALANCE_DIVISOR);
+  int moved = rst_zone_release_excess (zone, sched->incarnation, moves);
 
   for (guint i = 0; i < sched->owned->len && moved > 0; i++)
     {
       struct instance *instance = g_ptr_array_index (sched->owned, i);
-      const struct rst_owned *owned
-          = rst_zone_find_owned (zone, instance->info.name);
+      const struct rst_ownership *owned
+          = rst_zone_find_ownership (zone, instance->info.name);
 
       if (owned != NULL && owned->owner[0] == '\0')
         {
-          instance->yielding = true;
-          instance->yielding_revision = revision;
+          instance->releasing = true;
+          instance->release_revision = revision;
         }
     }
   return moved > 0;
@@ -381,7 +385,7 @@
 
   changed = settle_instances (sched, zone) || changed;
   if (!changed)
-    changed = yield_instances (sched, zone);
+    changed = release_instances (sched, zone);
   return changed;
 }
 
@@ -389,7 +393,7 @@
 on_zone_written (struct rst_scheduler *sched, bool ok)
 {
   (void)ok;
-  sched->zone_next_at = sched_now (sched) + sched_jitter (sched, 100);
+  sched->zone_update_next_at = sched_now (sched) + sched_jitter (sched, 100);
 }
 
 static void
@@ -397,11 +401,12 @@
 {
   rst_ms now = sched_now (sched);
 
-  if (sched->stopping || now < sched->zone_next_at || !sched->list_known
-      || sched->joined_revision == 0 || sched->session != SESSION_CONFIRMED)
+  if (sched->stopping || now < sched->zone_update_next_at
+      || !sched->list_received || sched->joined_revision == 0
+      || sched->session != SESSION_REGISTERED)
     return;
-  sched->zone_next_at = now + SCHED_ZONE_EVERY_MS;
-  sched_zone_write (sched, update_zone, NULL, on_zone_written);
+  sched->zone_update_next_at = now + SCHED_ZONE_UPDATE_INTERVAL_MS;
+  sched_zone_update (sched, update_zone, NULL, on_zone_written);
 }
 
 void
--- a/src/coordination/sched_instance_private.h
+++ b/src/coordination/sched_instance_private.h
@@ -8,7 +8,7 @@
 #include "coordination/scheduler_private.h"
 
 /** Time added to a task lease before its end is taken as certain. */
-#define LEASE_MARGIN_MS 1000
+#define TASK_LEASE_MARGIN_MS 1000
 
 /* sched_instance_adopt.c */
 void sched_instance_inspect_tick (struct instance *instance);
--- a/src/coordination/sched_job.c
+++ b/src/coordination/sched_job.c
@@ -13,13 +13,13 @@
 #define LOG_PREFIX "job"
 
 /** How long a finished job is kept. */
-#define FINISHED_KEEP_MS 600000
+#define FINISHED_RETENTION_MS 600000
 
 /** Longest time in which acceptance must be known. */
-#define ACCEPT_MS 5000
+#define ACCEPT_TIMEOUT_MS 5000
 
 void
-sched_job_reply_body (struct rst_scheduler *sched, uint64_t link, uint64_t id,
+sched_job_send_reply (struct rst_scheduler *sched, uint64_t link, uint64_t id,
                       uint64_t status, const char *body)
 {
   struct rst_message message = { 0 };
@@ -33,9 +33,9 @@
 }
 
 void
-sched_job_reply_refusal (struct rst_scheduler *sched, uint64_t link,
-                         uint64_t id, uint64_t status, const char *outcome,
-                         const char *reason, const char *detail)
+sched_job_send_rejection (struct rst_scheduler *sched, uint64_t link,
+                          uint64_t id, uint64_t status, const char *outcome,
+                          const char *reason, const char *detail)
 {
   struct json_object *root = json_object_new_object ();
   char *text;
@@ -44,61 +44,62 @@
   rst_json_set_text (root, "reason", reason);
   rst_json_set_text (root, "detail", detail);
   text = rst_json_release (root);
-  sched_job_reply_body (sched, link, id, status, text);
+  sched_job_send_reply (sched, link, id, status, text);
   free (text);
 }
 
 void
-sched_job_reply_state (struct job *job, uint64_t link, uint64_t id,
-                       uint64_t status)
+sched_job_send_state (struct job *job, uint64_t link, uint64_t id,
+                      uint64_t status)
 {
   char *text = rst_job_record_describe (
-      &job->record, job->running,
+      &job->record, job->running_count,
       job->waiting_for[0] != '\0' ? job->waiting_for : NULL);
 
-  sched_job_reply_body (job->sched, link, id, status, text);
+  sched_job_send_reply (job->sched, link, id, status, text);
   free (text);
 }
 
 void
-sched_job_answer_caller (struct job *job, uint64_t status)
+sched_job_reply_to_caller (struct job *job, uint64_t status)
 {
-  if (!job->caller_due)
+  if (!job->caller_awaits_reply)
     return;
-  job->caller_due = false;
-  sched_job_reply_state (job, job->caller_link, job->caller_id, status);
+  job->caller_awaits_reply = false;
+  sched_job_send_state (job, job->caller_link, job->caller_request_id, status);
 }
 
 void
-sched_job_refuse_caller (struct job *job, uint64_t status, const char *outcome,
+sched_job_reject_caller (struct job *job, uint64_t status, const char *outcome,
                          const char *reason, const char *detail)
 {
-  if (!job->caller_due)
+  if (!job->caller_awaits_reply)
     return;
-  job->caller_due = false;
-  sched_job_reply_refusal (job->sched, job->caller_link, job->caller_id,
-                           status, outcome, reason, detail);
+  job->caller_awaits_reply = false;
+  sched_job_send_rejection (job->sched, job->caller_link,
+                            job->caller_request_id, status, outcome, reason,
+                            detail);
 }
 
 static void
-free_ends (struct job *job)
+free_end_acks (struct job *job)
 {
-  struct end *end;
+  struct end_ack *end_ack;
 
-  while ((end = CK_STAILQ_FIRST (&job->ends)) != NULL)
+  while ((end_ack = CK_STAILQ_FIRST (&job->end_acks)) != NULL)
     {
-      CK_STAILQ_REMOVE_HEAD (&job->ends, entry);
-      g_free (end);
+      CK_STAILQ_REMOVE_HEAD (&job->end_acks, entry);
+      g_free (end_ack);
     }
 }
 
 void
 sched_job_free (struct job *job)
 {
-  free_ends (job);
+  free_end_acks (job);
   rst_job_record_clear (&job->record);
-  if (job->found_at != NULL)
-    g_hash_table_destroy (job->found_at);
+  if (job->search_replies != NULL)
+    g_hash_table_destroy (job->search_replies);
   g_free (job->tasks);
   g_free (job->text);
   g_free (job);
@@ -109,7 +110,7 @@
 sched_job_drop (struct job *job)
 {
   g_hash_table_steal (job->sched->jobs, job->record.name);
-  if (job->busy)
+  if (job->store_busy)
     {
       job->dropped = true;
       g_ptr_array_add (job->sched->dropped_jobs, job);
@@ -128,19 +129,19 @@
   job->record = *record;
   job->tasks = g_new0 (struct task, (gsize)record->spec.tasks);
   job->created_at = sched_now (sched);
-  job->reconcile_next_at = job->created_at + RECONCILE_MS;
-  CK_STAILQ_INIT (&job->ends);
+  job->reconcile_next_at = job->created_at + RECONCILE_INTERVAL_MS;
+  CK_STAILQ_INIT (&job->end_acks);
   for (int64_t i = 0; i < record->spec.tasks; i++)
     if (record->ended[i] != '.')
       job->tasks[i].state = TASK_ENDED;
     else
-      job->waiting++;
+      job->waiting_count++;
   g_hash_table_insert (sched->jobs, job->record.name, job);
   return job;
 }
 
 static void
-job_hash_free (gpointer data)
+free_job_value (gpointer data)
 {
   sched_job_free (data);
 }
@@ -149,7 +150,7 @@
 sched_job_init (struct rst_scheduler *sched)
 {
   sched->jobs
-      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, job_hash_free);
+      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_job_value);
   sched->dropped_jobs = g_ptr_array_new ();
   sched->job_forwards
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
@@ -166,14 +167,14 @@
 }
 
 void
-sched_job_tenure_lost (struct rst_scheduler *sched)
+sched_job_drop_all (struct rst_scheduler *sched)
 {
   GList *jobs = g_hash_table_get_values (sched->jobs);
 
   for (GList *item = jobs; item != NULL; item = item->next)
     sched_job_drop (item->data);
   g_list_free (jobs);
-  sched->jobs_next_at = 0;
+  sched->jobs_list_next_at = 0;
 }
 
 static void
@@ -185,20 +186,21 @@
 
       if (task->state == TASK_WAITING)
         sched_job_end_task (job, task, 'c');
-      else if ((task->state == TASK_RUNNING || task->state == TASK_HELD)
-               && sched_now (job->sched) - task->asked_at > START_AGAIN_MS)
+      else if ((task->state == TASK_RUNNING || task->state == TASK_RESERVED)
+               && sched_now (job->sched) - task->request_sent_at
+                      > START_RESEND_MS)
         {
-          task->asked_at = sched_now (job->sched);
+          task->request_sent_at = sched_now (job->sched);
           sched_job_send_stop (job, task, RST_TASK_STOPPED);
         }
     }
 }
 
 static void
-forget_job (struct job *job)
+delete_job (struct job *job)
 {
   struct rst_scheduler *sched = job->sched;
-  char *key = sched_job_key (job);
+  char *key = sched_job_build_key (job);
 
   sched->counters.store_writes++;
   sched->platform->store_delete (sched->platform_data, key,
@@ -209,7 +211,7 @@
 }
 
 static void
-run_job (struct job *job)
+advance_accepted_job (struct job *job)
 {
   rst_ms now = sched_now (job->sched);
 
@@ -217,11 +219,11 @@
     {
       if (now >= job->cancel_next_at)
         {
-          job->cancel_next_at = now + START_AGAIN_MS / 3;
+          job->cancel_next_at = now + START_RESEND_MS / 3;
           cancel_tasks (job);
         }
     }
-  else if (now >= job->blocked_until)
+  else if (now >= job->starts_paused_until)
     {
       sched_job_extend_intent (job);
       sched_job_start_waiting (job);
@@ -231,53 +233,53 @@
       sched_job_gang_tick (job);
       sched_job_extend_intent (job);
     }
-  sched_job_ask_again (job);
-  sched_job_reconcile (job);
-  sched_job_find_tick (job);
+  sched_job_resend_starts (job);
+  sched_job_reconcile_running (job);
+  sched_job_search_tick (job);
 }
 
 static void
-write_tick (struct job *job)
+record_tick (struct job *job)
 {
   rst_ms now = sched_now (job->sched);
 
-  if (job->busy)
+  if (job->store_busy)
     {
-      if (job->read_at != 0 && now >= job->read_at)
-        sched_job_read (job);
+      if (job->verify_at != 0 && now >= job->verify_at)
+        sched_job_verify_write (job);
       return;
     }
   if (job->dirty && now >= job->write_next_at)
-    sched_job_write (job);
+    sched_job_write_record (job);
 }
 
 /* Returns false when the job was freed. */
 bool
-sched_job_work (struct job *job)
+sched_job_advance (struct job *job)
 {
   rst_ms now = sched_now (job->sched);
   bool finished = rst_job_record_finished (&job->record);
 
   if (!job->accepted)
     {
-      if (now - job->created_at > ACCEPT_MS)
-        sched_job_refuse_caller (job, 504, "unknown", "no-answer",
+      if (now - job->created_at > ACCEPT_TIMEOUT_MS)
+        sched_job_reject_caller (job, 504, "unknown", "no-answer",
                                  "the store has not confirmed the job");
-      write_tick (job);
+      record_tick (job);
       return true;
     }
   if (!finished)
-    run_job (job);
-  write_tick (job);
+    advance_accepted_job (job);
+  record_tick (job);
   if (finished && job->finished_at == 0)
     {
       job->finished_at = now;
-      sched_job_log (job, "Job has ended.");
+      sched_job_log_event (job, "Job has ended.");
     }
-  if (finished && !job->busy && !job->dirty
-      && now - job->finished_at > FINISHED_KEEP_MS)
+  if (finished && !job->store_busy && !job->dirty
+      && now - job->finished_at > FINISHED_RETENTION_MS)
     {
-      forget_job (job);
+      delete_job (job);
       return false;
     }
   return true;
--- a/src/coordination/sched_job_call.c
+++ b/src/coordination/sched_job_call.c
@@ -7,14 +7,14 @@
 #define LOG_PREFIX "job"
 
 static bool
-can_ever_run (struct rst_scheduler *sched, const struct rst_job_spec *spec,
-              GString *why)
+can_fit_any_worker (struct rst_scheduler *sched,
+                    const struct rst_job_spec *spec, GString *why)
 {
   struct rst_instance_info largest = { 0 };
   GHashTableIter iterator;
   gpointer value;
 
-  if (!sched->list_known)
+  if (!sched->list_received)
     return true;
   g_hash_table_iter_init (&iterator, sched->instances);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
@@ -42,8 +42,8 @@
 }
 
 static void
-submit (struct rst_scheduler *sched, uint64_t link,
-        const struct rst_message *message)
+submit_job (struct rst_scheduler *sched, uint64_t link,
+            const struct rst_message *message)
 {
   const struct rst_job_call *call = &message->job_call;
   struct rst_job_record record = { 0 };
@@ -54,48 +54,48 @@
   if (rst_job_spec_parse (call->body.data, id, &record.spec, problems)
       != RST_STATE_OK)
     {
-      sched_job_reply_refusal (sched, link, message->id, 400, "not-run",
-                               "bad-request", g_strchomp (problems->str));
+      sched_job_send_rejection (sched, link, message->id, 400, "not-run",
+                                "bad-request", g_strchomp (problems->str));
       goto done;
     }
-  if (!can_ever_run (sched, &record.spec, problems))
+  if (!can_fit_any_worker (sched, &record.spec, problems))
     {
-      sched_job_reply_refusal (sched, link, message->id, 400, "not-run",
-                               "never-fits", problems->str);
+      sched_job_send_rejection (sched, link, message->id, 400, "not-run",
+                                "never-fits", problems->str);
       goto done;
     }
-  if (!rst_scheduler_ready (sched))
+  if (!rst_scheduler_is_ready (sched))
     {
-      sched_job_reply_refusal (sched, link, message->id, 503, "not-run",
-                               "not-ready",
-                               "this scheduler takes no jobs now");
+      sched_job_send_rejection (sched, link, message->id, 503, "not-run",
+                                "not-ready",
+                                "this scheduler takes no jobs now");
       goto done;
     }
   g_snprintf (record.name, sizeof record.name, "%s/%s", call->team, call->job);
-  job = sched_job_named (sched, record.name);
+  job = sched_job_lookup (sched, record.name);
   if (job != NULL)
     {
       if (!rst_job_spec_equal (&job->record.spec, &record.spec))
-        sched_job_reply_refusal (sched, link, message->id, 409, "not-run",
-                                 "id-in-use",
-                                 "id: another job of this team has it");
+        sched_job_send_rejection (sched, link, message->id, 409, "not-run",
+                                  "id-in-use",
+                                  "id: another job of this team has it");
       else if (job->accepted)
-        sched_job_reply_state (job, link, message->id, 200);
+        sched_job_send_state (job, link, message->id, 200);
       else
-        sched_job_reply_refusal (sched, link, message->id, 503, "unknown",
-                                 "no-answer", "the job is being accepted");
+        sched_job_send_rejection (sched, link, message->id, 503, "unknown",
+                                  "no-answer", "the job is being accepted");
       goto done;
     }
   g_strlcpy (record.owner, sched->incarnation, RST_NAME_SIZE);
   record.generation = 1;
   record.ended = g_strnfill ((gsize)record.spec.tasks, '.');
   if (record.spec.policy != RST_POLICY_GANG)
-    record.intent = MIN (INTENT_BATCH, record.spec.tasks);
+    record.intent = MIN (START_INTENT_BATCH_TASKS, record.spec.tasks);
   job = sched_job_create (sched, &record);
   job->caller_link = link;
-  job->caller_id = message->id;
-  job->caller_due = true;
-  sched_job_write (job);
+  job->caller_request_id = message->id;
+  job->caller_awaits_reply = true;
+  sched_job_write_record (job);
 
 done:
   g_string_free (problems, TRUE);
@@ -117,19 +117,19 @@
 
   call.id = sched_next_id (sched);
   call.job_call.hops++;
-  if (link == 0 || link == SCHED_SELF || read->call.job_call.hops > 0
+  if (link == 0 || link == SCHED_LINK_SELF || read->call.job_call.hops > 0
       || !sched_send (sched, link, &call))
     {
-      sched_job_reply_refusal (sched, read->link, read->id, 503, "not-run",
-                               "owner-away",
-                               "the job's owner cannot be reached");
+      sched_job_send_rejection (sched, read->link, read->id, 503, "not-run",
+                                "owner-away",
+                                "the job's owner cannot be reached");
       return;
     }
-  sched_job_remember_forward (sched, call.id, link, read->link, read->id);
+  sched_job_add_forward (sched, call.id, link, read->link, read->id);
 }
 
 static void
-answer_read (struct job_read *read, const struct rst_job_record *record)
+reply_from_record (struct job_read *read, const struct rst_job_record *record)
 {
   struct rst_scheduler *sched = read->sched;
   char *text;
@@ -142,28 +142,30 @@
       return;
     }
   text = rst_job_record_describe (record, 0, NULL);
-  sched_job_reply_body (sched, read->link, read->id, 200, text);
+  sched_job_send_reply (sched, read->link, read->id, 200, text);
   free (text);
 }
 
 static void
-on_call_read (const struct rst_platform_reply *reply, void *data)
+on_record_read (const struct rst_platform_reply *reply, void *data)
 {
   struct job_read *read = data;
   struct rst_job_record record;
 
   if (reply->result == RST_PLATFORM_NOT_FOUND)
-    sched_job_reply_refusal (read->sched, read->link, read->id, 404, "not-run",
-                             "unknown-job", "id: no such job of this team");
+    sched_job_send_rejection (read->sched, read->link, read->id, 404,
+                              "not-run", "unknown-job",
+                              "id: no such job of this team");
   else if (reply->result != RST_PLATFORM_OK || reply->kv_count != 1
            || rst_job_record_parse (reply->kvs[0].value,
                                     reply->kvs[0].revision, &record)
                   != RST_STATE_OK)
-    sched_job_reply_refusal (read->sched, read->link, read->id, 503, "not-run",
-                             "store-away", "the job's record cannot be read");
+    sched_job_send_rejection (read->sched, read->link, read->id, 503,
+                              "not-run", "store-away",
+                              "the job's record cannot be read");
   else
     {
-      answer_read (read, &record);
+      reply_from_record (read, &record);
       rst_job_record_clear (&record);
     }
   job_read_free (read);
@@ -183,12 +185,12 @@
 }
 
 static void
-get_or_cancel (struct rst_scheduler *sched, uint64_t link,
-               const struct rst_message *message)
+get_or_cancel_job (struct rst_scheduler *sched, uint64_t link,
+                   const struct rst_message *message)
 {
   const struct rst_job_call *call = &message->job_call;
   char *name = g_strdup_printf ("%s/%s", call->team, call->job);
-  struct job *job = sched_job_named (sched, name);
+  struct job *job = sched_job_lookup (sched, name);
   char *key;
 
   if (job != NULL && job->accepted)
@@ -199,16 +201,16 @@
           job->record.cancelled = true;
           job->dirty = true;
           job->write_next_at = 0;
-          sched_job_log (job, "Job is being cancelled.");
+          sched_job_log_event (job, "Job is being cancelled.");
         }
-      sched_job_reply_state (job, link, message->id,
-                             call->operation == RST_JOB_CANCEL ? 202 : 200);
+      sched_job_send_state (job, link, message->id,
+                            call->operation == RST_JOB_CANCEL ? 202 : 200);
     }
   else
     {
       key = g_strconcat (RST_KEY_JOBS, name, NULL);
       sched->counters.store_reads++;
-      sched->platform->store_get (sched->platform_data, key, on_call_read,
+      sched->platform->store_get (sched->platform_data, key, on_record_read,
                                   job_read_create (sched, link, message));
       g_free (key);
     }
@@ -216,19 +218,19 @@
 }
 
 static void
-on_list_read (const struct rst_platform_reply *reply, void *data)
+on_jobs_read (const struct rst_platform_reply *reply, void *data)
 {
   struct job_read *read = data;
-  const char *wanted = read->call.job_call.state;
+  const char *wanted_state = read->call.job_call.state;
   struct json_object *root;
   struct json_object *list;
   char *text;
 
   if (reply->result != RST_PLATFORM_OK)
     {
-      sched_job_reply_refusal (read->sched, read->link, read->id, 503,
-                               "not-run", "store-away",
-                               "the jobs cannot be read");
+      sched_job_send_rejection (read->sched, read->link, read->id, 503,
+                                "not-run", "store-away",
+                                "the jobs cannot be read");
       job_read_free (read);
       return;
     }
@@ -244,7 +246,7 @@
           != RST_STATE_OK)
         continue;
       state = rst_job_record_state (&record);
-      if (wanted[0] == '\0' || strcmp (wanted, state) == 0)
+      if (wanted_state[0] == '\0' || strcmp (wanted_state, state) == 0)
         {
           text = rst_job_record_describe (&record, 0, NULL);
           json_object_array_add (list, rst_json_parse (text));
@@ -254,7 +256,7 @@
     }
   json_object_object_add (root, "jobs", list);
   text = rst_json_release (root);
-  sched_job_reply_body (read->sched, read->link, read->id, 200, text);
+  sched_job_send_reply (read->sched, read->link, read->id, 200, text);
   free (text);
   job_read_free (read);
 }
@@ -266,30 +268,30 @@
   char *prefix = g_strconcat (RST_KEY_JOBS, message->job_call.team, "/", NULL);
 
   sched->counters.store_reads++;
-  sched->platform->store_list (sched->platform_data, prefix, on_list_read,
+  sched->platform->store_list (sched->platform_data, prefix, on_jobs_read,
                                job_read_create (sched, link, message));
   g_free (prefix);
 }
 
 void
-sched_job_call (struct rst_scheduler *sched, uint64_t link,
-                const struct rst_message *message)
+sched_job_handle_call (struct rst_scheduler *sched, uint64_t link,
+                       const struct rst_message *message)
 {
   switch (message->job_call.operation)
     {
     case RST_JOB_SUBMIT:
-      submit (sched, link, message);
+      submit_job (sched, link, message);
       break;
     case RST_JOB_GET:
     case RST_JOB_CANCEL:
-      get_or_cancel (sched, link, message);
+      get_or_cancel_job (sched, link, message);
       break;
     case RST_JOB_LIST:
       list_jobs (sched, link, message);
       break;
     default:
-      sched_job_reply_refusal (sched, link, message->id, 400, "not-run",
-                               "bad-request", "operation: unknown");
+      sched_job_send_rejection (sched, link, message->id, 400, "not-run",
+                                "bad-request", "operation: unknown");
       break;
     }
 }
@@ -299,26 +301,26 @@
   uint64_t id;
   uint64_t to;
   uint64_t link;
-  uint64_t caller_id;
+  uint64_t caller_request_id;
   rst_ms sent_at;
 };
 
 void
-sched_job_remember_forward (struct rst_scheduler *sched, uint64_t id,
-                            uint64_t to, uint64_t link, uint64_t caller_id)
+sched_job_add_forward (struct rst_scheduler *sched, uint64_t id, uint64_t to,
+                       uint64_t link, uint64_t caller_request_id)
 {
   struct job_forward *forward = g_new0 (struct job_forward, 1);
 
   forward->id = id;
   forward->to = to;
   forward->link = link;
-  forward->caller_id = caller_id;
+  forward->caller_request_id = caller_request_id;
   g_hash_table_insert (sched->job_forwards, &forward->id, forward);
 }
 
 void
-sched_job_reply (struct rst_scheduler *sched, uint64_t link,
-                 const struct rst_message *message)
+sched_job_handle_reply (struct rst_scheduler *sched, uint64_t link,
+                        const struct rst_message *message)
 {
   const struct job_forward *forward
       = g_hash_table_lookup (sched->job_forwards, &message->id);
@@ -326,13 +328,13 @@
 
   if (forward == NULL || forward->to != link)
     return;
-  reply.id = forward->caller_id;
+  reply.id = forward->caller_request_id;
   sched_send (sched, forward->link, &reply);
   g_hash_table_remove (sched->job_forwards, &message->id);
 }
 
 void
-sched_job_status (struct rst_scheduler *sched, struct json_object *root)
+sched_job_add_status (struct rst_scheduler *sched, struct json_object *root)
 {
   struct json_object *list = json_object_new_array ();
   GHashTableIter iterator;
@@ -347,11 +349,11 @@
       rst_json_set_text (item, "name", job->record.name);
       rst_json_set_text (item, "state", rst_job_record_state (&job->record));
       rst_json_set_number (item, "tasks", job->record.spec.tasks);
-      rst_json_set_number (item, "waiting", job->waiting);
-      rst_json_set_number (item, "asked", job->asked);
-      rst_json_set_number (item, "held", job->held);
-      rst_json_set_number (item, "running", job->running);
-      rst_json_set_number (item, "looked_for", job->looked_for);
+      rst_json_set_number (item, "waiting", job->waiting_count);
+      rst_json_set_number (item, "asked", job->start_requested_count);
+      rst_json_set_number (item, "held", job->reserved_count);
+      rst_json_set_number (item, "running", job->running_count);
+      rst_json_set_number (item, "looked_for", job->in_doubt_count);
       rst_json_set_text (item, "waiting_for", job->waiting_for);
       json_object_array_add (list, item);
     }
--- a/src/coordination/sched_job_find.c
+++ b/src/coordination/sched_job_find.c
@@ -8,56 +8,56 @@
 #define LOG_PREFIX "job"
 
 /** Time between two questions to schedulers about a job's tasks. */
-#define FIND_EVERY_MS 700
+#define SEARCH_INTERVAL_MS 700
 
 /** Time between two searches for jobs without an owner. */
-#define ORPHANS_EVERY_MS 30000
+#define ORPHAN_SCAN_INTERVAL_MS 30000
 
 void
-sched_job_find_anew (struct job *job)
+sched_job_restart_search (struct job *job)
 {
   for (int64_t i = 0; i < job->record.spec.tasks; i++)
     job->tasks[i].found = false;
-  if (job->found_at != NULL)
-    g_hash_table_destroy (job->found_at);
-  job->found_at
+  if (job->search_replies != NULL)
+    g_hash_table_destroy (job->search_replies);
+  job->search_replies
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  job->find_id = 0;
-  job->find_next_at = 0;
+  job->search_id = 0;
+  job->search_next_at = 0;
 }
 
-struct ask_all
+struct task_search
 {
   struct job *job;
-  bool complete;
-  bool consistent;
+  bool all_replied;
+  bool same_revision;
 };
 
 /* Answers that rest on different versions of the record may both have missed
    an instance that changed hands between them. */
 static void
-check_revisions (const struct rst_zone *zone, struct ask_all *ask)
+check_revisions (const struct rst_zone *zone, struct task_search *search)
 {
   const uint64_t *first = NULL;
 
   for (int i = 0; i < zone->member_count; i++)
     {
       const uint64_t *revision = g_hash_table_lookup (
-          ask->job->found_at, zone->members[i].incarnation);
+          search->job->search_replies, zone->members[i].incarnation);
 
       if (revision == NULL)
         continue;
       if (first != NULL && *first != *revision)
-        ask->consistent = false;
+        search->same_revision = false;
       first = revision;
     }
   if (first != NULL && *first != zone->revision)
-    ask->consistent = false;
+    search->same_revision = false;
 }
 
 /* An instance without an owner may run tasks that no member knows of. */
 static bool
-all_owned (const struct rst_zone *zone)
+all_instances_owned (const struct rst_zone *zone)
 {
   for (int i = 0; i < zone->owned_count; i++)
     if (rst_zone_find_member (zone, zone->owned[i].owner) == NULL)
@@ -66,27 +66,27 @@
 }
 
 static void
-ask_members (const struct rst_zone *zone, void *userdata)
+send_find_requests (const struct rst_zone *zone, void *userdata)
 {
-  struct ask_all *ask = userdata;
-  struct job *job = ask->job;
+  struct task_search *search = userdata;
+  struct job *job = search->job;
   struct rst_message message = { 0 };
 
   message.type = RST_TASK_FIND;
-  message.id = job->find_id;
+  message.id = job->search_id;
   message.task_event.job = job->record.name;
   message.task_event.attempt = job->record.generation;
-  check_revisions (zone, ask);
-  if (!all_owned (zone))
-    ask->complete = false;
+  check_revisions (zone, search);
+  if (!all_instances_owned (zone))
+    search->all_replied = false;
   for (int i = 0; i < zone->member_count; i++)
     {
       const char *incarnation = zone->members[i].incarnation;
       uint64_t link;
 
-      if (g_hash_table_contains (job->found_at, incarnation))
+      if (g_hash_table_contains (job->search_replies, incarnation))
         continue;
-      ask->complete = false;
+      search->all_replied = false;
       link = sched_link_to (job->sched, incarnation);
       if (link != 0)
         sched_send (job->sched, link, &message);
@@ -95,41 +95,42 @@
 
 /* All schedulers know all that runs: what was not found has no place. */
 static void
-conclude_finding (struct job *job)
+finish_search (struct job *job)
 {
   for (int64_t i = 0; i < job->record.spec.tasks; i++)
-    if (job->tasks[i].state == TASK_LOOKED_FOR && job->tasks[i].found)
-      sched_job_set_state (job, &job->tasks[i], TASK_RUNNING);
-    else if (job->tasks[i].state == TASK_LOOKED_FOR)
+    if (job->tasks[i].state == TASK_IN_DOUBT && job->tasks[i].found)
+      sched_job_set_task_state (job, &job->tasks[i], TASK_RUNNING);
+    else if (job->tasks[i].state == TASK_IN_DOUBT)
       {
-        job->tasks[i].inherited = 0;
+        job->tasks[i].latest_attempt = 0;
         if (job->record.cancelled && !job->record.spec.run_once)
           sched_job_end_task (job, &job->tasks[i], 'c');
         else
-          sched_job_lose_task (job, &job->tasks[i]);
+          sched_job_handle_lost_task (job, &job->tasks[i]);
       }
-  sched_job_log (job, "All tasks of the job are accounted for.");
-  g_hash_table_destroy (job->found_at);
-  job->found_at = NULL;
+  sched_job_log_event (job, "All tasks of the job are accounted for.");
+  g_hash_table_destroy (job->search_replies);
+  job->search_replies = NULL;
 }
 
 void
-sched_job_find_tick (struct job *job)
+sched_job_search_tick (struct job *job)
 {
-  struct ask_all ask = { job, true, true };
+  struct task_search search = { job, true, true };
   rst_ms now = sched_now (job->sched);
 
-  if (job->looked_for == 0 || job->found_at == NULL || now < job->find_next_at)
+  if (job->in_doubt_count == 0 || job->search_replies == NULL
+      || now < job->search_next_at)
     return;
-  job->find_next_at = now + FIND_EVERY_MS;
+  job->search_next_at = now + SEARCH_INTERVAL_MS;
   /* An answer counts only for the question asked since the last change. */
-  if (job->find_id == 0)
-    job->find_id = sched_next_id (job->sched);
-  rst_settings_records (job->sched->settings, ask_members, &ask);
-  if (!ask.consistent)
-    sched_job_find_anew (job);
-  else if (ask.complete)
-    conclude_finding (job);
+  if (job->search_id == 0)
+    job->search_id = sched_next_id (job->sched);
+  rst_settings_records (job->sched->settings, send_find_requests, &search);
+  if (!search.same_revision)
+    sched_job_restart_search (job);
+  else if (search.all_replied)
+    finish_search (job);
 }
 
 static bool
@@ -138,17 +139,17 @@
   const struct rst_zone *zone = sched_zone (sched);
   const char *names[RST_MEMBERS_MAX];
   size_t length = strlen (sched->config.zone);
-  int pick;
+  int chosen;
 
   if (strncmp (record->owner, sched->config.zone, length) != 0
       || record->owner[length] != ':'
       || rst_zone_find_member (zone, record->owner) != NULL
-      || sched_job_named (sched, record->name) != NULL)
+      || sched_job_lookup (sched, record->name) != NULL)
     return false;
   for (int i = 0; i < zone->member_count; i++)
     names[i] = zone->members[i].incarnation;
-  pick = rst_rendezvous (record->name, names, zone->member_count);
-  return pick >= 0 && strcmp (names[pick], sched->incarnation) == 0;
+  chosen = rst_rendezvous_pick (record->name, names, zone->member_count);
+  return chosen >= 0 && strcmp (names[chosen], sched->incarnation) == 0;
 }
 
 static void
@@ -168,9 +169,9 @@
   record.generation++;
   job = sched_job_create (sched, &record);
   job->claiming = true;
-  job->confirmed_intent = record.intent;
+  job->stored_intent = record.intent;
   job->gang_started = record.intent >= record.spec.tasks;
-  sched_job_write (job);
+  sched_job_write_record (job);
 }
 
 static void
@@ -178,12 +179,12 @@
 {
   struct rst_scheduler *sched = data;
 
-  sched->jobs_listing = false;
-  sched->jobs_next_at = sched_now (sched) + ORPHANS_EVERY_MS;
+  sched->jobs_list_pending = false;
+  sched->jobs_list_next_at = sched_now (sched) + ORPHAN_SCAN_INTERVAL_MS;
   if (reply->result != RST_PLATFORM_OK)
     {
-      sched->jobs_next_at
-          = sched_now (sched) + sched_jitter (sched, SCHED_RETRY_MS);
+      sched->jobs_list_next_at
+          = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
       return;
     }
   if (sched_zone (sched) == NULL || sched->joined_revision == 0)
@@ -193,20 +194,20 @@
 }
 
 static void
-orphans_tick (struct rst_scheduler *sched)
+orphan_scan_tick (struct rst_scheduler *sched)
 {
-  if (sched->jobs_listing || sched->joined_revision == 0 || sched->stopping
-      || sched->session != SESSION_CONFIRMED
-      || sched_now (sched) < sched->jobs_next_at)
+  if (sched->jobs_list_pending || sched->joined_revision == 0
+      || sched->stopping || sched->session != SESSION_REGISTERED
+      || sched_now (sched) < sched->jobs_list_next_at)
     return;
-  sched->jobs_listing = true;
+  sched->jobs_list_pending = true;
   sched->counters.store_reads++;
   sched->platform->store_list (sched->platform_data, RST_KEY_JOBS,
                                on_jobs_listed, sched);
 }
 
 void
-sched_job_members_changed (struct rst_scheduler *sched)
+sched_job_check_all_worker_owners (struct rst_scheduler *sched)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -214,7 +215,7 @@
   g_hash_table_iter_init (&iterator, sched->jobs);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     if (((struct job *)value)->accepted)
-      sched_job_check_holders (value);
+      sched_job_check_worker_owners (value);
 }
 
 void
@@ -222,11 +223,11 @@
 {
   GList *jobs;
 
-  orphans_tick (sched);
-  if (!rst_tenure_held (sched->tenure, sched_now (sched)))
+  orphan_scan_tick (sched);
+  if (!rst_tenure_is_held (sched->tenure, sched_now (sched)))
     return;
   jobs = g_hash_table_get_values (sched->jobs);
   for (GList *item = jobs; item != NULL; item = item->next)
-    sched_job_work (item->data);
+    sched_job_advance (item->data);
   g_list_free (jobs);
 }
--- a/src/coordination/sched_job_start.c
+++ b/src/coordination/sched_job_start.c
@@ -7,49 +7,50 @@
 #define LOG_PREFIX "job"
 
 /** Most starts of one job that wait for their answer. */
-#define PLACING_MAX 64
+#define START_REQUESTS_MAX 64
 
 /** Time left for one start. */
 #define START_DEADLINE_MS 4000
 
 /** Pause of a gang that did not get all places. */
-#define GANG_PAUSE_MS 600
+#define GANG_RETRY_PAUSE_MS 600
 
 static uint64_t
-find_link (struct rst_scheduler *sched, const struct rst_job_spec *spec,
-           char holder[RST_NAME_SIZE], bool prefer_other_zone)
+choose_peer_link (struct rst_scheduler *sched, const struct rst_job_spec *spec,
+                  char worker_owner[RST_NAME_SIZE], bool prefer_other_zone)
 {
   GHashTableIter iterator;
   gpointer value;
   uint64_t best = 0;
-  int64_t best_room = -1;
+  int64_t best_free_cpu = -1;
 
   g_hash_table_iter_init (&iterator, sched->peers);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
       const struct peer *peer = value;
-      int64_t room = (int64_t)peer->load.cpu_free;
+      int64_t free_cpu = (int64_t)peer->load.cpu_free;
       bool own = strcmp (peer->zone, sched->config.zone) == 0;
 
-      if (!peer->known || peer->role != RST_ROLE_SCHEDULER || !peer->has_load
-          || !peer->load.ready
+      if (!peer->has_greeted || peer->role != RST_ROLE_SCHEDULER
+          || !peer->has_load || !peer->load.ready
           || (int64_t)peer->load.largest_cpu_free < spec->cpu
           || rst_settings_zone_out (sched->settings, peer->zone))
         continue;
       if (own != prefer_other_zone)
-        room *= 4;
-      if (room > best_room)
+        free_cpu *= 4;
+      if (free_cpu > best_free_cpu)
         {
           best = peer->link;
-          best_room = room;
-          g_strlcpy (holder, peer->incarnation, RST_NAME_SIZE);
+          best_free_cpu = free_cpu;
+          g_strlcpy (worker_owner, peer->incarnation, RST_NAME_SIZE);
         }
     }
   return best;
 }
 
 static bool
-has_room_here (struct rst_scheduler *sched, const struct rst_job_spec *spec)
+has_local_capacity (struct rst_scheduler *sched,
+                    const struct rst_job_spec *spec)
 {
   if (!sched_may_start (sched))
     return false;
@@ -63,7 +64,7 @@
           && instance->memory_used + spec->memory_mb <= info->memory_mb
           && instance->accelerators_used + spec->accelerators
                  <= info->accelerators
-          && sched_instance_usable (sched, instance))
+          && sched_instance_is_usable (sched, instance))
         return true;
     }
   return false;
@@ -71,7 +72,8 @@
 
 /* The scheduler to ask for a place: here first, services in turn elsewhere. */
 static uint64_t
-choose_holder (struct job *job, int64_t index, char holder[RST_NAME_SIZE])
+choose_worker_owner (struct job *job, int64_t index,
+                     char worker_owner[RST_NAME_SIZE])
 {
   struct rst_scheduler *sched = job->sched;
   const struct rst_job_spec *spec = &job->record.spec;
@@ -80,21 +82,21 @@
 
   if (spread)
     {
-      link = find_link (sched, spec, holder, index % 3 == 1);
+      link = choose_peer_link (sched, spec, worker_owner, index % 3 == 1);
       if (link != 0)
         return link;
     }
-  if (has_room_here (sched, spec))
+  if (has_local_capacity (sched, spec))
     {
-      g_strlcpy (holder, sched->incarnation, RST_NAME_SIZE);
-      return SCHED_SELF;
+      g_strlcpy (worker_owner, sched->incarnation, RST_NAME_SIZE);
+      return SCHED_LINK_SELF;
     }
-  return find_link (sched, spec, holder, false);
+  return choose_peer_link (sched, spec, worker_owner, false);
 }
 
 void
-sched_job_ask_start (struct job *job, int64_t index, uint64_t link,
-                     bool hold_only)
+sched_job_send_start (struct job *job, int64_t index, uint64_t link,
+                      bool hold_only)
 {
   struct rst_scheduler *sched = job->sched;
   const struct rst_job_spec *spec = &job->record.spec;
@@ -110,7 +112,7 @@
   message.task_start.job = job->record.name;
   message.task_start.owner = sched->incarnation;
   message.task_start.index = (uint64_t)index;
-  message.task_start.attempt = sched_job_full_attempt (job, task);
+  message.task_start.attempt = sched_job_get_full_attempt (job, task);
   message.task_start.policy = (uint64_t)spec->policy;
   message.task_start.cpu = (uint64_t)spec->cpu;
   message.task_start.memory_mb = (uint64_t)spec->memory_mb;
@@ -119,35 +121,37 @@
   message.task_start.deadline_ms = START_DEADLINE_MS;
   message.task_start.hold_only = hold_only;
   message.task_start.run_once = spec->run_once;
-  task->asked_at = sched_now (sched);
+  task->request_sent_at = sched_now (sched);
   sched_send (sched, link, &message);
 }
 
 void
-sched_job_block (struct job *job, const char *reason, rst_ms pause)
+sched_job_pause_starts (struct job *job, const char *reason, rst_ms pause)
 {
   g_strlcpy (job->waiting_for, reason, sizeof job->waiting_for);
-  job->blocked_until
+  job->starts_paused_until
       = sched_now (job->sched) + sched_jitter (job->sched, pause);
 }
 
 /* Returns false when the job should not go on now. */
 static bool
-start_one (struct job *job, int64_t index)
+request_start (struct job *job, int64_t index)
 {
   struct task *task = &job->tasks[index];
   bool gang = job->record.spec.policy == RST_POLICY_GANG;
-  char holder[RST_NAME_SIZE];
-  uint64_t link = choose_holder (job, index, holder);
+  char worker_owner[RST_NAME_SIZE];
+  uint64_t link = choose_worker_owner (job, index, worker_owner);
 
   if (link == 0)
     {
-      sched_job_block (job, "no-capacity", gang ? GANG_PAUSE_MS : BLOCKED_MS);
+      sched_job_pause_starts (job, "no-capacity",
+                              gang ? GANG_RETRY_PAUSE_MS
+                                   : START_RETRY_PAUSE_MS);
       return false;
     }
-  g_strlcpy (task->holder, holder, RST_NAME_SIZE);
-  sched_job_set_state (job, task, TASK_ASKED);
-  sched_job_ask_start (job, index, link, gang && !job->gang_started);
+  g_strlcpy (task->worker_owner, worker_owner, RST_NAME_SIZE);
+  sched_job_set_task_state (job, task, TASK_START_REQUESTED);
+  sched_job_send_start (job, index, link, gang && !job->gang_started);
   return true;
 }
 
@@ -158,26 +162,26 @@
   int64_t bound
       = job->record.spec.policy == RST_POLICY_GANG && !job->gang_started
             ? job->record.spec.tasks
-            : job->confirmed_intent;
+            : job->stored_intent;
   int64_t i = job->first_waiting;
-  bool passed_any = false;
+  bool skipped_any = false;
 
-  for (; i < bound && job->asked < PLACING_MAX; i++)
+  for (; i < bound && job->start_requested_count < START_REQUESTS_MAX; i++)
     {
       struct task *task = &job->tasks[i];
 
       if (task->state != TASK_WAITING)
         continue;
-      if (task->retry_at > now || !start_one (job, i))
+      if (task->start_not_before > now || !request_start (job, i))
         {
-          if (!passed_any)
+          if (!skipped_any)
             job->first_waiting = i;
-          passed_any = true;
-          if (job->blocked_until > now)
+          skipped_any = true;
+          if (job->starts_paused_until > now)
             break;
         }
     }
-  if (!passed_any)
+  if (!skipped_any)
     job->first_waiting = i;
 }
 
@@ -185,13 +189,14 @@
 void
 sched_job_extend_intent (struct job *job)
 {
-  int64_t next
-      = MIN (job->first_waiting + INTENT_BATCH, job->record.spec.tasks);
+  int64_t next = MIN (job->first_waiting + START_INTENT_BATCH_TASKS,
+                      job->record.spec.tasks);
   bool gang = job->record.spec.policy == RST_POLICY_GANG;
 
   if (gang)
     next = job->gang_starting ? job->record.spec.tasks : 0;
-  if (job->first_waiting + INTENT_BATCH / 2 < job->confirmed_intent && !gang)
+  if (job->first_waiting + START_INTENT_BATCH_TASKS / 2 < job->stored_intent
+      && !gang)
     return;
   if (next > job->record.intent)
     {
@@ -205,14 +210,14 @@
 sched_job_send_stop (struct job *job, struct task *task, uint64_t result)
 {
   struct rst_message message = { 0 };
-  uint64_t link = sched_link_to (job->sched, task->holder);
+  uint64_t link = sched_link_to (job->sched, task->worker_owner);
 
   message.type = RST_TASK_STOP;
   message.task_event.job = job->record.name;
   message.task_event.index = (uint64_t)(task - job->tasks);
-  message.task_event.attempt = task->inherited != 0
-                                   ? task->inherited
-                                   : sched_job_full_attempt (job, task);
+  message.task_event.attempt = task->latest_attempt != 0
+                                   ? task->latest_attempt
+                                   : sched_job_get_full_attempt (job, task);
   message.task_event.result = result;
   if (link != 0)
     sched_send (job->sched, link, &message);
@@ -220,63 +225,66 @@
 
 /* Gives all places back, so that two gangs never wait for each other. */
 static void
-release_gang (struct job *job)
+release_reservations (struct job *job)
 {
   for (int64_t i = 0; i < job->record.spec.tasks; i++)
     {
       struct task *task = &job->tasks[i];
 
-      if (task->state != TASK_HELD && task->state != TASK_ASKED)
+      if (task->state != TASK_RESERVED && task->state != TASK_START_REQUESTED)
         continue;
       sched_job_send_stop (job, task, RST_TASK_STOPPED);
       task->attempt++;
-      sched_job_set_state (job, task, TASK_WAITING);
+      sched_job_set_task_state (job, task, TASK_WAITING);
     }
   job->gang_starting = false;
-  job->gang_since = 0;
-  sched_job_block (
+  job->gang_reserving_since = 0;
+  sched_job_pause_starts (
       job, job->waiting_for[0] != '\0' ? job->waiting_for : "no-capacity",
-      GANG_PAUSE_MS);
+      GANG_RETRY_PAUSE_MS);
 }
 
 static void
 start_gang (struct job *job)
 {
   job->gang_started = true;
-  sched_job_log (job, "Gang is started.");
+  sched_job_log_event (job, "Gang is started.");
   for (int64_t i = 0; i < job->record.spec.tasks; i++)
     {
       struct task *task = &job->tasks[i];
 
-      if (task->state != TASK_HELD)
+      if (task->state != TASK_RESERVED)
         continue;
-      sched_job_set_state (job, task, TASK_ASKED);
-      sched_job_ask_start (job, i, sched_link_to (job->sched, task->holder),
-                           false);
+      sched_job_set_task_state (job, task, TASK_START_REQUESTED);
+      sched_job_send_start (
+          job, i, sched_link_to (job->sched, task->worker_owner), false);
     }
 }
 
 /* Longest time in which a gang collects its places. */
-#define GANG_COLLECT_MS 2500
+#define GANG_RESERVE_TIMEOUT_MS 2500
 
 void
 sched_job_gang_tick (struct job *job)
 {
   rst_ms now = sched_now (job->sched);
-  int64_t open = job->waiting + job->asked + job->held;
+  int64_t unstarted
+      = job->waiting_count + job->start_requested_count + job->reserved_count;
 
   if (job->gang_started)
     return;
-  if (job->gang_since == 0 && (job->asked > 0 || job->held > 0))
-    job->gang_since = now;
-  if (job->gang_since != 0 && now - job->gang_since > GANG_COLLECT_MS)
+  if (job->gang_reserving_since == 0
+      && (job->start_requested_count > 0 || job->reserved_count > 0))
+    job->gang_reserving_since = now;
+  if (job->gang_reserving_since != 0
+      && now - job->gang_reserving_since > GANG_RESERVE_TIMEOUT_MS)
     {
-      release_gang (job);
+      release_reservations (job);
       return;
     }
-  if (job->held == 0 || job->held < open)
+  if (job->reserved_count == 0 || job->reserved_count < unstarted)
     return;
   job->gang_starting = true;
-  if (job->confirmed_intent >= job->record.spec.tasks)
+  if (job->stored_intent >= job->record.spec.tasks)
     start_gang (job);
 }
--- a/src/coordination/sched_job_task.c
+++ b/src/coordination/sched_job_task.c
@@ -10,30 +10,31 @@
 #define TASK_FAILURES_MAX 3
 
 static int64_t *
-counter_of (struct job *job, enum task_state state)
+get_state_counter (struct job *job, enum task_state state)
 {
   switch (state)
     {
     case TASK_WAITING:
-      return &job->waiting;
-    case TASK_ASKED:
-      return &job->asked;
-    case TASK_HELD:
-      return &job->held;
+      return &job->waiting_count;
+    case TASK_START_REQUESTED:
+      return &job->start_requested_count;
+    case TASK_RESERVED:
+      return &job->reserved_count;
     case TASK_RUNNING:
-      return &job->running;
-    case TASK_LOOKED_FOR:
-      return &job->looked_for;
+      return &job->running_count;
+    case TASK_IN_DOUBT:
+      return &job->in_doubt_count;
     default:
       return NULL;
     }
 }
 
 void
-sched_job_set_state (struct job *job, struct task *task, enum task_state state)
+sched_job_set_task_state (struct job *job, struct task *task,
+                          enum task_state state)
 {
-  int64_t *before = counter_of (job, task->state);
-  int64_t *after = counter_of (job, state);
+  int64_t *before = get_state_counter (job, task->state);
+  int64_t *after = get_state_counter (job, state);
 
   if (before != NULL)
     (*before)--;
@@ -48,7 +49,7 @@
 void
 sched_job_end_task (struct job *job, struct task *task, char letter)
 {
-  sched_job_set_state (job, task, TASK_ENDED);
+  sched_job_set_task_state (job, task, TASK_ENDED);
   job->record.ended[task - job->tasks] = letter;
   job->dirty = true;
 }
@@ -61,24 +62,24 @@
       sched_job_end_task (job, task, 'c');
       return;
     }
-  task->retry_at = sched_now (job->sched) + pause;
+  task->start_not_before = sched_now (job->sched) + pause;
   task->attempt++;
-  task->inherited = 0;
-  sched_job_set_state (job, task, TASK_WAITING);
+  task->latest_attempt = 0;
+  sched_job_set_task_state (job, task, TASK_WAITING);
 }
 
 /* A task that may have run and whose result nobody knows. */
 void
-sched_job_lose_task (struct job *job, struct task *task)
+sched_job_handle_lost_task (struct job *job, struct task *task)
 {
-  if (job->record.spec.run_once && !RST_FAULT (RST_FAULT_TASK_TWICE))
+  if (job->record.spec.run_once && !RST_FAULT (RST_FAULT_RUN_TASK_TWICE))
     sched_job_end_task (job, task, 'u');
   else
     restart_task (job, task, 0);
 }
 
 static void
-fail_task (struct job *job, struct task *task)
+handle_task_failure (struct job *job, struct task *task)
 {
   task->failures++;
   if (job->record.spec.policy == RST_POLICY_SERVICE)
@@ -101,13 +102,13 @@
         sched_job_end_task (job, task, 'd');
       break;
     case RST_TASK_FAILED:
-      fail_task (job, task);
+      handle_task_failure (job, task);
       break;
     case RST_TASK_STOPPED:
       if (job->record.cancelled)
         sched_job_end_task (job, task, 'c');
       else
-        sched_job_lose_task (job, task);
+        sched_job_handle_lost_task (job, task);
       break;
     case RST_TASK_MOVED:
       restart_task (job, task, 0);
@@ -116,57 +117,59 @@
       restart_task (job, task, 0);
       break;
     default:
-      sched_job_lose_task (job, task);
+      sched_job_handle_lost_task (job, task);
       break;
     }
 }
 
 uint64_t
-sched_job_full_attempt (const struct job *job, const struct task *task)
+sched_job_get_full_attempt (const struct job *job, const struct task *task)
 {
   return job->record.generation * RST_ATTEMPTS_PER_GENERATION + task->attempt;
 }
 
 static void
-queue_end (struct job *job, uint64_t link, const struct rst_task_event *event)
+queue_end_ack (struct job *job, uint64_t link,
+               const struct rst_task_event *event)
 {
-  struct end *end = g_new0 (struct end, 1);
+  struct end_ack *end_ack = g_new0 (struct end_ack, 1);
 
-  end->link = link;
-  end->index = event->index;
-  end->attempt = event->attempt;
-  CK_STAILQ_INSERT_TAIL (&job->ends, end, entry);
+  end_ack->link = link;
+  end_ack->index = event->index;
+  end_ack->attempt = event->attempt;
+  CK_STAILQ_INSERT_TAIL (&job->end_acks, end_ack, entry);
   job->dirty = true;
 }
 
 /* Whether an event speaks of the attempt that counts. */
 static bool
-is_present (const struct job *job, const struct task *task, uint64_t attempt)
+is_current_attempt (const struct job *job, const struct task *task,
+                    uint64_t attempt)
 {
-  if (task->inherited != 0)
-    return task->inherited == attempt;
-  return attempt == sched_job_full_attempt (job, task);
+  if (task->latest_attempt != 0)
+    return task->latest_attempt == attempt;
+  return attempt == sched_job_get_full_attempt (job, task);
 }
 
 /* The holder that was asked to stop a task does not have it. */
 static void
-not_here (struct job *job, struct task *task, uint64_t attempt)
+handle_task_not_found (struct job *job, struct task *task, uint64_t attempt)
 {
   if (!job->record.cancelled)
     return;
-  if (task->state == TASK_HELD)
+  if (task->state == TASK_RESERVED)
     sched_job_end_task (job, task, 'c');
   else if (task->state == TASK_RUNNING)
     {
-      task->inherited = attempt;
-      sched_job_set_state (job, task, TASK_LOOKED_FOR);
-      sched_job_find_anew (job);
+      task->latest_attempt = attempt;
+      sched_job_set_task_state (job, task, TASK_IN_DOUBT);
+      sched_job_restart_search (job);
     }
 }
 
 static void
-task_ended (struct rst_scheduler *sched, struct job *job, uint64_t link,
-            const struct rst_message *message)
+handle_task_end (struct rst_scheduler *sched, struct job *job, uint64_t link,
+                 const struct rst_message *message)
 {
   const struct rst_task_event *event = &message->task_event;
   struct task *task = &job->tasks[event->index];
@@ -174,105 +177,108 @@
   (void)sched;
   /* Which attempt was the last is known once all schedulers have answered;
      until then its end is reported again. */
-  if (task->state == TASK_LOOKED_FOR)
+  if (task->state == TASK_IN_DOUBT)
     return;
-  if (task->state != TASK_ENDED && is_present (job, task, event->attempt))
+  if (task->state != TASK_ENDED
+      && is_current_attempt (job, task, event->attempt))
     {
       if (event->result == RST_TASK_NOT_RUN)
-        not_here (job, task, event->attempt);
+        handle_task_not_found (job, task, event->attempt);
       else
         apply_result (job, task, event->result);
     }
   if (event->result != RST_TASK_NOT_RUN)
-    queue_end (job, link, event);
+    queue_end_ack (job, link, event);
 }
 
 static void
-task_started (struct job *job, const struct rst_message *message)
+handle_task_started (struct job *job, const struct rst_message *message)
 {
   const struct rst_task_event *event = &message->task_event;
   struct task *task = &job->tasks[event->index];
 
-  if (event->attempt != sched_job_full_attempt (job, task)
-      || task->state != TASK_ASKED)
+  if (event->attempt != sched_job_get_full_attempt (job, task)
+      || task->state != TASK_START_REQUESTED)
     return;
   switch (event->result)
     {
     case RST_TASK_RUNNING:
       job->waiting_for[0] = '\0';
-      sched_job_set_state (job, task, TASK_RUNNING);
+      sched_job_set_task_state (job, task, TASK_RUNNING);
       break;
     case RST_TASK_HELD:
-      sched_job_set_state (job, task, TASK_HELD);
+      sched_job_set_task_state (job, task, TASK_RESERVED);
       break;
     case RST_TASK_NOT_RUN:
       if (strcmp (event->reason, "outdated") == 0)
         break;
-      sched_job_block (
+      sched_job_pause_starts (
           job, event->reason[0] != '\0' ? event->reason : "no-capacity",
-          BLOCKED_MS);
+          START_RETRY_PAUSE_MS);
       /* A gang keeps its other places until the time to collect is over. */
       restart_task (job, task, 0);
       break;
     default:
       /* It may be at this holder or, if its instance has changed hands, at
          another. */
-      task->inherited = event->attempt;
-      sched_job_set_state (job, task, TASK_LOOKED_FOR);
-      sched_job_find_anew (job);
+      task->latest_attempt = event->attempt;
+      sched_job_set_task_state (job, task, TASK_IN_DOUBT);
+      sched_job_restart_search (job);
       break;
     }
 }
 
 /* Keeps the revision of the ownership record that an answer rests on. */
 static void
-note_answer (struct job *job, const char *incarnation, uint64_t revision)
+record_search_reply (struct job *job, const char *incarnation,
+                     uint64_t revision)
 {
-  uint64_t *kept = g_new (uint64_t, 1);
+  uint64_t *stored_revision = g_new (uint64_t, 1);
 
-  *kept = revision;
-  g_hash_table_insert (job->found_at, g_strdup (incarnation), kept);
+  *stored_revision = revision;
+  g_hash_table_insert (job->search_replies, g_strdup (incarnation),
+                       stored_revision);
 }
 
 static void
-task_found (struct rst_scheduler *sched, struct job *job, uint64_t link,
-            const struct rst_message *message)
+handle_task_found (struct rst_scheduler *sched, struct job *job, uint64_t link,
+                   const struct rst_message *message)
 {
   const struct rst_task_event *event = &message->task_event;
   const struct peer *peer = sched_peer_by_link (sched, link);
-  const char *incarnation = link == SCHED_SELF ? sched->incarnation
-                            : peer != NULL     ? peer->incarnation
-                                               : "";
+  const char *incarnation = link == SCHED_LINK_SELF ? sched->incarnation
+                            : peer != NULL          ? peer->incarnation
+                                                    : "";
   struct task *task;
 
   if (event->index == UINT64_MAX)
     {
-      if (event->result == RST_TASK_DONE && job->found_at != NULL
-          && message->id == job->find_id)
-        note_answer (job, incarnation, event->attempt);
+      if (event->result == RST_TASK_DONE && job->search_replies != NULL
+          && message->id == job->search_id)
+        record_search_reply (job, incarnation, event->attempt);
       return;
     }
   /* The last attempt counts; an earlier one has ended. */
   task = &job->tasks[event->index];
-  if (task->state != TASK_LOOKED_FOR || event->attempt < task->inherited)
+  if (task->state != TASK_IN_DOUBT || event->attempt < task->latest_attempt)
     return;
-  g_strlcpy (task->holder, incarnation, RST_NAME_SIZE);
-  task->inherited = event->attempt;
+  g_strlcpy (task->worker_owner, incarnation, RST_NAME_SIZE);
+  task->latest_attempt = event->attempt;
   task->found = true;
 }
 
 struct job *
-sched_job_named (struct rst_scheduler *sched, const char *name)
+sched_job_lookup (struct rst_scheduler *sched, const char *name)
 {
   return g_hash_table_lookup (sched->jobs, name);
 }
 
 void
-sched_job_task_event (struct rst_scheduler *sched, uint64_t link,
-                      const struct rst_message *message)
+sched_job_handle_task_event (struct rst_scheduler *sched, uint64_t link,
+                             const struct rst_message *message)
 {
   const struct rst_task_event *event = &message->task_event;
-  struct job *job = sched_job_named (sched, event->job);
+  struct job *job = sched_job_lookup (sched, event->job);
 
   if (job == NULL
       || (event->index != UINT64_MAX
@@ -281,41 +287,42 @@
   if (event->index == UINT64_MAX && message->type != RST_TASK_FOUND)
     return;
   if (message->type == RST_TASK_STARTED)
-    task_started (job, message);
+    handle_task_started (job, message);
   else if (message->type == RST_TASK_END)
-    task_ended (sched, job, link, message);
+    handle_task_end (sched, job, link, message);
   else
-    task_found (sched, job, link, message);
+    handle_task_found (sched, job, link, message);
 }
 
 /* Asks again for starts that were not answered: the holder may have lost the
    request or its link, and runs one id once. */
 void
-sched_job_ask_again (struct job *job)
+sched_job_resend_starts (struct job *job)
 {
   struct rst_scheduler *sched = job->sched;
   rst_ms now = sched_now (sched);
   bool hold = job->record.spec.policy == RST_POLICY_GANG && !job->gang_started;
 
-  if (job->asked == 0 || now < job->ask_next_at)
+  if (job->start_requested_count == 0 || now < job->resend_next_at)
     return;
-  job->ask_next_at = now + START_AGAIN_MS / 3;
+  job->resend_next_at = now + START_RESEND_MS / 3;
   for (int64_t i = 0; i < job->record.spec.tasks; i++)
     {
       struct task *task = &job->tasks[i];
       uint64_t link;
 
-      if (task->state != TASK_ASKED || now - task->asked_at < START_AGAIN_MS)
+      if (task->state != TASK_START_REQUESTED
+          || now - task->request_sent_at < START_RESEND_MS)
         continue;
-      link = sched_link_to (sched, task->holder);
+      link = sched_link_to (sched, task->worker_owner);
       if (link != 0)
-        sched_job_ask_start (job, i, link, hold);
-      else if (!sched_is_member (sched, task->holder))
+        sched_job_send_start (job, i, link, hold);
+      else if (!sched_is_member (sched, task->worker_owner))
         {
           /* The holder's tenure has ended: its successor knows. */
-          sched_job_set_state (job, task, TASK_LOOKED_FOR);
-          task->inherited = sched_job_full_attempt (job, task);
-          sched_job_find_anew (job);
+          sched_job_set_task_state (job, task, TASK_IN_DOUBT);
+          task->latest_attempt = sched_job_get_full_attempt (job, task);
+          sched_job_restart_search (job);
         }
     }
 }
@@ -323,14 +330,15 @@
 /* Looks for all running tasks once in a while: one that was lost while its
    instance changed hands is reported by nobody. */
 void
-sched_job_reconcile (struct job *job)
+sched_job_reconcile_running (struct job *job)
 {
   rst_ms now = sched_now (job->sched);
 
   if (now < job->reconcile_next_at)
     return;
-  job->reconcile_next_at = now + sched_jitter (job->sched, RECONCILE_MS);
-  if (job->running == 0 || job->looked_for > 0)
+  job->reconcile_next_at
+      = now + sched_jitter (job->sched, RECONCILE_INTERVAL_MS);
+  if (job->running_count == 0 || job->in_doubt_count > 0)
     return;
   for (int64_t i = 0; i < job->record.spec.tasks; i++)
     {
@@ -338,17 +346,17 @@
 
       if (task->state != TASK_RUNNING)
         continue;
-      if (task->inherited == 0)
-        task->inherited = sched_job_full_attempt (job, task);
-      sched_job_set_state (job, task, TASK_LOOKED_FOR);
+      if (task->latest_attempt == 0)
+        task->latest_attempt = sched_job_get_full_attempt (job, task);
+      sched_job_set_task_state (job, task, TASK_IN_DOUBT);
     }
-  sched_job_find_anew (job);
+  sched_job_restart_search (job);
 }
 
 /* Running tasks whose holder is gone are reported by its successor, to whom
    stops must go. */
 void
-sched_job_check_holders (struct job *job)
+sched_job_check_worker_owners (struct job *job)
 {
   struct rst_scheduler *sched = job->sched;
 
@@ -356,12 +364,13 @@
     {
       struct task *task = &job->tasks[i];
 
-      if (task->state != TASK_RUNNING || sched_is_member (sched, task->holder))
+      if (task->state != TASK_RUNNING
+          || sched_is_member (sched, task->worker_owner))
         continue;
-      task->inherited = task->inherited != 0
-                            ? task->inherited
-                            : sched_job_full_attempt (job, task);
-      sched_job_set_state (job, task, TASK_LOOKED_FOR);
-      sched_job_find_anew (job);
+      task->latest_attempt = task->latest_attempt != 0
+                                 ? task->latest_attempt
+                                 : sched_job_get_full_attempt (job, task);
+      sched_job_set_task_state (job, task, TASK_IN_DOUBT);
+      sched_job_restart_search (job);
     }
 }
--- a/src/coordination/sched_limit.c
+++ b/src/coordination/sched_limit.c
@@ -13,17 +13,17 @@
 #define LOG_PREFIX "limit"
 
 /** Time for which a demand counts after it was last seen. */
-#define WANT_FRESH_MS 1500
+#define DEMAND_TTL_MS 1500
 
 /** Refusals closer together than this belong to one burst. */
-#define WANT_BURST_MS 50
+#define REJECTION_BURST_MS 50
 
 /* Work left on an instance that was handed to another member. */
-struct away
+struct handed_over
 {
   char instance[RST_NAME_SIZE];
   uint32_t count;
-  CK_LIST_ENTRY (away) entry;
+  CK_LIST_ENTRY (handed_over) entry;
 };
 
 struct transfer
@@ -35,7 +35,7 @@
 };
 
 uint32_t
-sched_limit_upper (const struct rst_scheduler *sched, const char *team)
+sched_limit_get_upper (const struct rst_scheduler *sched, const char *team)
 {
   const struct rst_team *settings = rst_settings_team (sched->settings, team);
 
@@ -43,7 +43,7 @@
 }
 
 struct team *
-sched_team (struct rst_scheduler *sched, const char *name)
+sched_team_get (struct rst_scheduler *sched, const char *name)
 {
   struct team *team = g_hash_table_lookup (sched->teams, name);
 
@@ -55,28 +55,28 @@
   g_strlcpy (team->name, name, RST_NAME_SIZE);
   CK_STAILQ_INIT (&team->urgent);
   CK_STAILQ_INIT (&team->normal);
-  CK_LIST_INIT (&team->away_list);
+  CK_LIST_INIT (&team->handed_over_list);
   CK_LIST_INIT (&team->transfers);
   g_hash_table_insert (sched->teams, team->name, team);
   return team;
 }
 
 static void
-drop_away (struct team *team, struct away *away)
+remove_handed_over (struct team *team, struct handed_over *handed_over)
 {
-  team->away -= away->count;
-  CK_LIST_REMOVE (away, entry);
-  g_free (away);
+  team->handed_over -= handed_over->count;
+  CK_LIST_REMOVE (handed_over, entry);
+  g_free (handed_over);
 }
 
 static void
-clear_away (struct team *team)
+clear_handed_over (struct team *team)
 {
-  struct away *away;
+  struct handed_over *handed_over;
   struct transfer *transfer;
 
-  while ((away = CK_LIST_FIRST (&team->away_list)) != NULL)
-    drop_away (team, away);
+  while ((handed_over = CK_LIST_FIRST (&team->handed_over_list)) != NULL)
+    remove_handed_over (team, handed_over);
   while ((transfer = CK_LIST_FIRST (&team->transfers)) != NULL)
     {
       CK_LIST_REMOVE (transfer, entry);
@@ -89,27 +89,29 @@
 {
   struct team *team = data;
 
-  clear_away (team);
+  clear_handed_over (team);
   g_free (team->text);
   g_free (team);
 }
 
 bool
-sched_limit_allows (const struct team *team)
+sched_limit_allows_start (const struct team *team)
 {
-  uint32_t upper = sched_limit_upper (team->sched, team->name);
+  uint32_t upper = sched_limit_get_upper (team->sched, team->name);
 
-  if (upper == RST_NO_LIMIT || RST_FAULT (RST_FAULT_UPPER_LIMIT))
+  if (upper == RST_NO_LIMIT || RST_FAULT (RST_FAULT_IGNORE_UPPER_LIMIT))
     return true;
-  return team->used + team->away < MIN (MIN (team->granted, upper), team->cap);
+  return team->run_count + team->handed_over
+         < MIN (MIN (team->granted, upper), team->cap);
 }
 
 bool
-sched_limit_covered (const struct team *team)
+sched_limit_is_covered (const struct team *team)
 {
-  uint32_t upper = sched_limit_upper (team->sched, team->name);
+  uint32_t upper = sched_limit_get_upper (team->sched, team->name);
 
-  return upper == RST_NO_LIMIT || team->used + team->away <= team->granted;
+  return upper == RST_NO_LIMIT
+         || team->run_count + team->handed_over <= team->granted;
 }
 
 void
@@ -124,7 +126,7 @@
       struct team *team = value;
 
       team->granted = 0;
-      clear_away (team);
+      clear_handed_over (team);
     }
 }
 
@@ -132,38 +134,38 @@
  */
 
 void
-sched_limit_away (struct team *team, const char *instance)
+sched_limit_add_handed_over (struct team *team, const char *instance)
 {
-  struct away *away;
+  struct handed_over *handed_over;
 
-  CK_LIST_FOREACH (away, &team->away_list, entry)
-  if (strcmp (away->instance, instance) == 0)
+  CK_LIST_FOREACH (handed_over, &team->handed_over_list, entry)
+  if (strcmp (handed_over->instance, instance) == 0)
     break;
-  if (away == NULL)
+  if (handed_over == NULL)
     {
-      away = g_new0 (struct away, 1);
-      g_strlcpy (away->instance, instance, RST_NAME_SIZE);
-      CK_LIST_INSERT_HEAD (&team->away_list, away, entry);
+      handed_over = g_new0 (struct handed_over, 1);
+      g_strlcpy (handed_over->instance, instance, RST_NAME_SIZE);
+      CK_LIST_INSERT_HEAD (&team->handed_over_list, handed_over, entry);
     }
-  away->count++;
-  team->away++;
+  handed_over->count++;
+  team->handed_over++;
 }
 
 static uint32_t
-count_on (const struct instance *instance, const struct team *team)
+count_runs_on (const struct instance *instance, const struct team *team)
 {
   uint32_t count = 0;
-  const struct work *work;
+  const struct run *run;
 
-  CK_LIST_FOREACH (work, &instance->work, entry)
-  if (work->counted && work->team == team)
+  CK_LIST_FOREACH (run, &instance->runs, entry)
+  if (run->counted && run->team == team)
     count++;
   return count;
 }
 
 static void
-say_adopted (struct rst_scheduler *sched, const struct instance *instance,
-             const char *team, uint32_t count)
+send_adopted (struct rst_scheduler *sched, const struct instance *instance,
+              const char *team, uint32_t count)
 {
   struct rst_message message = { 0 };
   GHashTableIter iterator;
@@ -178,14 +180,14 @@
     {
       const struct peer *peer = value;
 
-      if (peer->known && peer->role == RST_ROLE_SCHEDULER
+      if (peer->has_greeted && peer->role == RST_ROLE_SCHEDULER
           && strcmp (peer->zone, sched->config.zone) == 0)
         sched_send (sched, peer->link, &message);
     }
 }
 
 void
-sched_limit_say_adopted (const struct instance *instance)
+sched_limit_announce_adopted (const struct instance *instance)
 {
   struct rst_scheduler *sched = instance->sched;
   GHashTableIter iterator;
@@ -195,12 +197,12 @@
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
       const struct team *team = value;
-      uint32_t count = count_on (instance, team);
+      uint32_t count = count_runs_on (instance, team);
 
       if (count > 0)
-        say_adopted (sched, instance, team->name, count);
+        send_adopted (sched, instance, team->name, count);
     }
-  say_adopted (sched, instance, "", 0);
+  send_adopted (sched, instance, "", 0);
 }
 
 static void
@@ -215,18 +217,19 @@
 
 /* The new owner counts this work from now on; its part moves there. */
 static void
-take_adopted (struct team *team, const char *instance, const char *to,
+move_adopted (struct team *team, const char *instance, const char *to,
               uint32_t count)
 {
-  struct away *away = CK_LIST_FIRST (&team->away_list);
+  struct handed_over *handed_over = CK_LIST_FIRST (&team->handed_over_list);
 
-  while (away != NULL)
+  while (handed_over != NULL)
     {
-      struct away *next = CK_LIST_NEXT (away, entry);
+      struct handed_over *next = CK_LIST_NEXT (handed_over, entry);
 
-      if (strcmp (away->instance, instance) == 0)
+      if (strcmp (handed_over->instance, instance) == 0)
         {
-          uint32_t moved = MIN (MIN (away->count, count), team->granted);
+          uint32_t moved
+              = MIN (MIN (handed_over->count, count), team->granted);
 
           if (moved > 0)
             {
@@ -234,17 +237,17 @@
               team->granted -= moved;
               add_transfer (team, to, moved);
             }
-          drop_away (team, away);
+          remove_handed_over (team, handed_over);
         }
-      away = next;
+      handed_over = next;
     }
 }
 
 void
-sched_limit_adopted (struct rst_scheduler *sched, struct peer *peer,
-                     const struct rst_message *message)
+sched_limit_handle_adopted (struct rst_scheduler *sched, struct peer *peer,
+                            const struct rst_message *message)
 {
-  const struct rst_adopted *said = &message->adopted;
+  const struct rst_adopted *adopted = &message->adopted;
   GHashTableIter iterator;
   gpointer value;
 
@@ -253,11 +256,11 @@
     {
       struct team *team = value;
 
-      if (said->team[0] == '\0')
-        take_adopted (team, said->instance, peer->incarnation, 0);
-      else if (strcmp (team->name, said->team) == 0)
-        take_adopted (team, said->instance, peer->incarnation,
-                      (uint32_t)said->count);
+      if (adopted->team[0] == '\0')
+        move_adopted (team, adopted->instance, peer->incarnation, 0);
+      else if (strcmp (team->name, adopted->team) == 0)
+        move_adopted (team, adopted->instance, peer->incarnation,
+                      (uint32_t)adopted->count);
     }
 }
 
@@ -265,12 +268,12 @@
  */
 
 void
-sched_limit_record (struct rst_scheduler *sched, const char *name,
-                    uint64_t revision, const char *value)
+sched_limit_apply_record (struct rst_scheduler *sched, const char *name,
+                          uint64_t revision, const char *value)
 {
-  struct team *team = sched_team (sched, name);
+  struct team *team = sched_team_get (sched, name);
   struct rst_limit limit;
-  const struct rst_part *part;
+  const struct rst_limit_part *part;
   uint32_t reserved = 0;
   const struct transfer *transfer;
 
@@ -284,7 +287,7 @@
     }
   team->limit = limit;
   team->limit_known = true;
-  part = rst_limit_find (&team->limit, sched->incarnation);
+  part = rst_limit_find_part (&team->limit, sched->incarnation);
   CK_LIST_FOREACH (transfer, &team->transfers, entry)
   reserved += transfer->count;
   reserved += team->busy ? team->shrink_pending : 0;
@@ -303,14 +306,14 @@
 }
 
 static void
-write_ended (struct team *team)
+finish_write (struct team *team)
 {
   team->busy = false;
   team->shrink_pending = 0;
   g_free (team->text);
   team->text = NULL;
   team->next_at = sched_now (team->sched)
-                  + sched_jitter (team->sched, SCHED_LIMIT_EVERY_MS);
+                  + sched_jitter (team->sched, SCHED_LIMIT_WRITE_INTERVAL_MS);
 }
 
 static void
@@ -333,15 +336,15 @@
 
 /* What this scheduler itself wrote has taken effect. */
 static void
-write_applied (struct team *team, uint64_t revision)
+apply_own_write (struct team *team, uint64_t revision)
 {
   char *text = team->text;
 
   team->text = NULL;
   drop_written_transfers (team);
-  write_ended (team);
+  finish_write (team);
   team->limit_known = false;
-  sched_limit_record (team->sched, team->name, revision, text);
+  sched_limit_apply_record (team->sched, team->name, revision, text);
   g_free (text);
 }
 
@@ -349,15 +352,16 @@
 static bool
 is_own_write (const struct team *team, struct rst_limit *limit)
 {
-  const struct rst_part *part = rst_limit_find (limit, team->writer);
+  const struct rst_limit_part *part
+      = rst_limit_find_part (limit, team->writer);
 
-  return part != NULL && part->write == team->write;
+  return part != NULL && part->write_number == team->write_number;
 }
 
 /* The same write again: while the revision stands, an earlier sending of it
    may still arrive. */
 static void
-put_limit (struct team *team)
+send_write (struct team *team)
 {
   struct rst_scheduler *sched = team->sched;
   char *key = limit_key (team);
@@ -379,22 +383,22 @@
   if (!found && reply->result != RST_PLATFORM_NOT_FOUND)
     {
       team->read_at = sched_now (team->sched)
-                      + sched_jitter (team->sched, SCHED_RETRY_MS);
+                      + sched_jitter (team->sched, SCHED_STORE_RETRY_MS);
       return;
     }
   if (revision == team->base)
     {
-      put_limit (team);
+      send_write (team);
       return;
     }
   if (found
       && rst_limit_parse (reply->kvs[0].value, revision, &limit) == RST_OK
       && is_own_write (team, &limit))
     drop_written_transfers (team);
-  write_ended (team);
+  finish_write (team);
   team->limit_known = false;
-  sched_limit_record (team->sched, team->name, revision,
-                      found ? reply->kvs[0].value : "");
+  sched_limit_apply_record (team->sched, team->name, revision,
+                            found ? reply->kvs[0].value : "");
 }
 
 static void
@@ -415,7 +419,7 @@
   struct team *team = data;
 
   if (reply->result == RST_PLATFORM_OK)
-    write_applied (team, reply->revision);
+    apply_own_write (team, reply->revision);
   else
     read_limit (team);
 }
@@ -424,20 +428,20 @@
 write_limit (struct team *team, struct rst_limit *limit)
 {
   struct rst_scheduler *sched = team->sched;
-  struct rst_part *own;
+  struct rst_limit_part *own;
 
   /* The part carries the number of the write, so there must be one. */
-  if (rst_limit_find (limit, sched->incarnation) == NULL)
-    rst_limit_request (limit, sched->incarnation, 0, 0);
-  own = rst_limit_find (limit, sched->incarnation);
+  if (rst_limit_find_part (limit, sched->incarnation) == NULL)
+    rst_limit_grow_part (limit, sched->incarnation, 0, 0);
+  own = rst_limit_find_part (limit, sched->incarnation);
   if (own == NULL)
     return;
-  own->write = ++team->write;
+  own->write_number = ++team->write_number;
   team->busy = true;
   team->base = limit->revision;
   g_strlcpy (team->writer, sched->incarnation, RST_NAME_SIZE);
   team->text = rst_limit_format (limit);
-  put_limit (team);
+  send_write (team);
 }
 
 /* ---- Decisions ------------------------------------------------------------
@@ -446,7 +450,7 @@
 /* Whether an incarnation of this zone has surely left it, with all its
    instances settled under others. */
 static bool
-is_gone (const struct rst_scheduler *sched, const char *holder)
+has_left_zone (const struct rst_scheduler *sched, const char *holder)
 {
   const struct rst_zone *zone = sched_zone (sched);
   size_t length = strlen (sched->config.zone);
@@ -457,7 +461,7 @@
 }
 
 static bool
-zone_is_settled (const struct rst_scheduler *sched)
+is_zone_settled (const struct rst_scheduler *sched)
 {
   const struct rst_zone *zone = sched_zone (sched);
 
@@ -468,23 +472,24 @@
 }
 
 static bool
-move_transfers (struct team *team, struct rst_limit *limit)
+apply_transfers (struct team *team, struct rst_limit *limit)
 {
   struct transfer *transfer;
   bool changed = false;
 
   CK_LIST_FOREACH (transfer, &team->transfers, entry)
   {
-    struct rst_part *own = rst_limit_find (limit, team->sched->incarnation);
-    struct rst_part *to;
+    struct rst_limit_part *own
+        = rst_limit_find_part (limit, team->sched->incarnation);
+    struct rst_limit_part *to;
 
     transfer->written = true;
     changed = true;
     if (own == NULL || own->granted < transfer->count
-        || rst_limit_request (limit, transfer->to, 0, 0) == RST_ERROR_FULL)
+        || rst_limit_grow_part (limit, transfer->to, 0, 0) == RST_ERROR_FULL)
       continue;
-    own = rst_limit_find (limit, team->sched->incarnation);
-    to = rst_limit_find (limit, transfer->to);
+    own = rst_limit_find_part (limit, team->sched->incarnation);
+    to = rst_limit_find_part (limit, transfer->to);
     own->granted -= transfer->count;
     to->granted += transfer->count;
   }
@@ -493,22 +498,23 @@
 
 /* Takes what uncovered work needs from parts of members that are gone. */
 static bool
-take_from_gone (struct team *team, struct rst_limit *limit, uint32_t need)
+take_parts_of_departed (struct team *team, struct rst_limit *limit,
+                        uint32_t need)
 {
   struct rst_scheduler *sched = team->sched;
-  struct rst_part *own;
+  struct rst_limit_part *own;
   bool changed = false;
 
   for (int i = 0; i < limit->part_count && need > 0; i++)
     {
-      struct rst_part *part = &limit->parts[i];
+      struct rst_limit_part *part = &limit->parts[i];
       uint32_t taken = MIN (part->granted, need);
 
-      if (taken == 0 || !is_gone (sched, part->holder)
-          || rst_limit_request (limit, sched->incarnation, 0, 0)
+      if (taken == 0 || !has_left_zone (sched, part->holder)
+          || rst_limit_grow_part (limit, sched->incarnation, 0, 0)
                  == RST_ERROR_FULL)
         continue;
-      own = rst_limit_find (limit, sched->incarnation);
+      own = rst_limit_find_part (limit, sched->incarnation);
       limit->parts[i].granted -= taken;
       own->granted += taken;
       need -= taken;
@@ -518,16 +524,16 @@
 }
 
 static bool
-drop_gone (struct team *team, struct rst_limit *limit)
+remove_parts_of_departed (struct team *team, struct rst_limit *limit)
 {
   bool changed = false;
   int i = 0;
 
-  if (!zone_is_settled (team->sched))
+  if (!is_zone_settled (team->sched))
     return false;
   while (i < limit->part_count)
     {
-      if (is_gone (team->sched, limit->parts[i].holder))
+      if (has_left_zone (team->sched, limit->parts[i].holder))
         {
           limit->parts[i] = limit->parts[limit->part_count - 1];
           limit->part_count--;
@@ -540,39 +546,43 @@
 }
 
 void
-sched_limit_wanted (struct team *team)
+sched_limit_note_rejected_start (struct team *team)
 {
   rst_ms now = sched_now (team->sched);
-  uint32_t in_use = team->used + team->away;
-  if (now - team->task_want_at < WANT_BURST_MS)
-    team->task_want++;
+  uint32_t in_use = team->run_count + team->handed_over;
+  if (now - team->last_rejection_at < REJECTION_BURST_MS)
+    team->burst_rejections++;
   else
-    team->task_want = 1;
+    team->burst_rejections = 1;
   /* The places of a gang that was refused are given back before the part
      can grow, so the whole need is kept, not what is missing. */
-  if (now - team->task_want_at >= WANT_FRESH_MS)
-    team->task_need = 0;
-  team->task_need = MAX (team->task_need, in_use + team->task_want);
-  team->task_want_at = now;
+  if (now - team->last_rejection_at >= DEMAND_TTL_MS)
+    team->demanded_runs = 0;
+  team->demanded_runs
+      = MAX (team->demanded_runs, in_use + team->burst_rejections);
+  team->last_rejection_at = now;
 }
 
 static uint32_t
-demand (const struct team *team)
+get_demand (const struct team *team)
 {
-  uint32_t in_use = team->used + team->away;
-  bool fresh = sched_now (team->sched) - team->task_want_at < WANT_FRESH_MS;
-  uint32_t tasks
-      = fresh && team->task_need > in_use ? team->task_need - in_use : 0;
+  uint32_t in_use = team->run_count + team->handed_over;
+  bool fresh
+      = sched_now (team->sched) - team->last_rejection_at < DEMAND_TTL_MS;
+  uint32_t tasks = fresh && team->demanded_runs > in_use
+                       ? team->demanded_runs - in_use
+                       : 0;
 
   return team->queued + tasks;
 }
 
 static bool
-grow (struct team *team, struct rst_limit *limit, uint32_t upper)
+grow_part (struct team *team, struct rst_limit *limit, uint32_t upper)
 {
-  struct rst_part *part = rst_limit_find (limit, team->sched->incarnation);
-  uint32_t in_use = team->used + team->away;
-  uint32_t want = in_use + demand (team);
+  struct rst_limit_part *part
+      = rst_limit_find_part (limit, team->sched->incarnation);
+  uint32_t in_use = team->run_count + team->handed_over;
+  uint32_t want = in_use + get_demand (team);
   uint32_t wanted_before = part != NULL ? part->wanted : 0;
   uint32_t granted_before = part != NULL ? part->granted : 0;
   uint32_t more = want > granted_before ? want - granted_before : 0;
@@ -580,30 +590,30 @@
   if (more == 0 && wanted_before == 0)
     return false;
   if (more > 0)
-    more = MAX (more, SCHED_LIMIT_BATCH);
-  rst_limit_request (limit, team->sched->incarnation, upper, more);
-  part = rst_limit_find (limit, team->sched->incarnation);
+    more = MAX (more, SCHED_LIMIT_MIN_GROWTH);
+  rst_limit_grow_part (limit, team->sched->incarnation, upper, more);
+  part = rst_limit_find_part (limit, team->sched->incarnation);
   return part != NULL
          && (part->granted != granted_before || part->wanted != wanted_before);
 }
 
 static bool
-shrink (struct team *team, struct rst_limit *limit, uint32_t upper)
+shrink_part (struct team *team, struct rst_limit *limit, uint32_t upper)
 {
-  uint32_t in_use = team->used + team->away;
-  const struct rst_part *part
-      = rst_limit_find (limit, team->sched->incarnation);
+  uint32_t in_use = team->run_count + team->handed_over;
+  const struct rst_limit_part *part
+      = rst_limit_find_part (limit, team->sched->incarnation);
   uint32_t target;
 
-  team->excess = 0;
+  team->excess_runs = 0;
   team->cap = UINT32_MAX;
   if (part == NULL)
     return false;
-  target = rst_limit_target (limit, team->sched->incarnation, upper, in_use,
-                             demand (team));
-  team->excess = in_use > target ? in_use - target : 0;
+  target = rst_limit_get_target_part (limit, team->sched->incarnation, upper,
+                                      in_use, get_demand (team));
+  team->excess_runs = in_use > target ? in_use - target : 0;
   /* Until the part is lowered, nothing starts beyond what will remain. */
-  if (rst_limit_granted (limit) > upper)
+  if (rst_limit_sum_granted (limit) > upper)
     team->cap = target;
   target = MAX (target, in_use);
   if (target >= part->granted)
@@ -611,29 +621,29 @@
   /* Given up here before the write is sent. */
   team->shrink_pending = part->granted - target;
   team->granted = MIN (team->granted, target);
-  rst_limit_shrink (limit, team->sched->incarnation, target);
+  rst_limit_shrink_part (limit, team->sched->incarnation, target);
   return true;
 }
 
 static bool
 update_limit (struct team *team, struct rst_limit *limit, uint32_t upper)
 {
-  uint32_t in_use = team->used + team->away;
+  uint32_t in_use = team->run_count + team->handed_over;
   uint32_t need = in_use > team->granted ? in_use - team->granted : 0;
-  bool changed = move_transfers (team, limit);
+  bool changed = apply_transfers (team, limit);
 
-  changed = take_from_gone (team, limit, need) || changed;
-  changed = drop_gone (team, limit) || changed;
+  changed = take_parts_of_departed (team, limit, need) || changed;
+  changed = remove_parts_of_departed (team, limit) || changed;
   if (changed)
     return true;
-  return shrink (team, limit, upper) || grow (team, limit, upper);
+  return shrink_part (team, limit, upper) || grow_part (team, limit, upper);
 }
 
 static void
 team_tick (struct team *team)
 {
   struct rst_scheduler *sched = team->sched;
-  uint32_t upper = sched_limit_upper (sched, team->name);
+  uint32_t upper = sched_limit_get_upper (sched, team->name);
   struct rst_limit limit;
 
   if (team->busy)
@@ -644,7 +654,8 @@
     }
   if (upper == RST_NO_LIMIT || sched_now (sched) < team->next_at)
     return;
-  if (team->limit.part_count == 0 && demand (team) == 0 && team->used == 0)
+  if (team->limit.part_count == 0 && get_demand (team) == 0
+      && team->run_count == 0)
     return;
   limit = team->limit;
   if (update_limit (team, &limit, upper))
@@ -658,7 +669,7 @@
   gpointer value;
 
   if (sched->joined_revision == 0 || sched->stopped
-      || !sched->shared_watch.listed || sched->session != SESSION_CONFIRMED)
+      || !sched->shared_watch.listed || sched->session != SESSION_REGISTERED)
     return;
   g_hash_table_iter_init (&iterator, sched->teams);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
