--- a/src/coordination/sched_member.c
+++ b/src/coordination/sched_member.c
@@ -24,35 +24,36 @@
 }
 
 char *
-sched_member_register_key (const struct rst_scheduler *sched,
-                           const char *incarnation)
+sched_member_record_key (const struct rst_scheduler *sched,
+                         const char *incarnation)
 {
   return g_strdup_printf ("members/%s/%s", sched->config.zone, incarnation);
 }
 
 static void
-new_incarnation (struct rst_scheduler *sched)
+begin_incarnation (struct rst_scheduler *sched)
 {
   rst_ms now = sched_now (sched);
 
-  sched->life++;
+  sched->incarnation_number++;
   g_snprintf (sched->incarnation, sizeof sched->incarnation, "%s:%s:%08x%02x",
               sched->config.zone, sched->config.name,
-              g_rand_int (sched->random), (unsigned)(sched->life & 0xff));
+              g_rand_int (sched->random),
+              (unsigned)(sched->incarnation_number & 0xff));
   sched->tenure
       = rst_tenure_create (&sched->config.tenure, sched->incarnation);
   sched->promises = rst_promises_create (&sched->config.tenure, now);
   sched->session = SESSION_NONE;
   sched->session_next_at = 0;
-  sched->register_revision = 0;
+  sched->member_record_revision = 0;
   sched->touch = 0;
   sched->declared_view = 0;
   sched->joined_revision = 0;
-  sched_record_new_life (sched);
+  sched_record_begin_incarnation (sched);
 }
 
 static void
-clear_incarnation (struct rst_scheduler *sched)
+free_incarnation (struct rst_scheduler *sched)
 {
   rst_tenure_destroy (sched->tenure);
   rst_promises_destroy (sched->promises);
@@ -65,11 +66,11 @@
 void
 sched_member_init (struct rst_scheduler *sched)
 {
-  sched->certain
+  sched->stopped_members
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  sched->seen
+  sched->first_seen_order
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  new_incarnation (sched);
+  begin_incarnation (sched);
 }
 
 void
@@ -77,10 +78,10 @@
 {
   struct takeover *takeover;
 
-  clear_incarnation (sched);
-  g_free (sched->last_members);
-  g_hash_table_destroy (sched->certain);
-  g_hash_table_destroy (sched->seen);
+  free_incarnation (sched);
+  g_free (sched->last_member_list);
+  g_hash_table_destroy (sched->stopped_members);
+  g_hash_table_destroy (sched->first_seen_order);
   while ((takeover = CK_LIST_FIRST (&sched->takeovers)) != NULL)
     {
       CK_LIST_REMOVE (takeover, entry);
@@ -90,7 +91,7 @@
 
 /* Another member has ended this tenure: all rights are gone. */
 static void
-tenure_lost (struct rst_scheduler *sched)
+handle_tenure_lost (struct rst_scheduler *sched)
 {
   rst_warning (LOG_PREFIX, "Tenure was ended by another member.",
                "incarnation", sched->incarnation);
@@ -98,15 +99,15 @@
   rst_tenure_end (sched->tenure);
   sched_instance_drop_all (sched);
   sched_limit_reset (sched);
-  sched_job_tenure_lost (sched);
-  clear_incarnation (sched);
-  new_incarnation (sched);
-  sched_peer_say_hello_to_all (sched);
+  sched_job_drop_all (sched);
+  free_incarnation (sched);
+  begin_incarnation (sched);
+  sched_peer_send_hello_to_all (sched);
   sched->load_changed = true;
 }
 
 static char *
-members_text (const struct rst_zone *zone)
+format_members (const struct rst_zone *zone)
 {
   GString *text = g_string_new ("");
 
@@ -116,43 +117,46 @@
 }
 
 static void
-register_done (struct rst_scheduler *sched, uint64_t revision, rst_ms sent_at)
+finish_member_write (struct rst_scheduler *sched, uint64_t revision,
+                     rst_ms sent_at)
 {
-  sched->register_busy = false;
-  sched->register_revision = revision;
+  sched->member_write_pending = false;
+  sched->member_record_revision = revision;
   if (sched->declaring_view > sched->declared_view)
     {
       sched->declared_view = sched->declaring_view;
-      rst_tenure_declared (sched->tenure, sched->declared_view);
+      rst_tenure_confirm_view (sched->tenure, sched->declared_view);
       g_free (sched->declared_members);
       sched->declared_members = sched->declaring_members;
       sched->declaring_members = NULL;
     }
-  if (sched->session == SESSION_REGISTER)
+  if (sched->session == SESSION_ANNOUNCED)
     {
-      sched->session = SESSION_CONFIRMED;
-      sched->keep_next_at = 0;
+      sched->session = SESSION_REGISTERED;
+      sched->lease_renewal_next_at = 0;
       rst_info (LOG_PREFIX, "Registered.", "incarnation", sched->incarnation);
       /* The lease counts from its grant, not from this write. */
-      rst_tenure_renewed (sched->tenure, MIN (sched->granted_at, sent_at));
+      rst_tenure_record_renewal (sched->tenure,
+                                 MIN (sched->lease_granted_at, sent_at));
     }
 }
 
 static void
-on_register_read (const struct rst_platform_reply *reply, void *data)
+on_own_record_read (const struct rst_platform_reply *reply, void *data)
 {
   struct rst_scheduler *sched = data;
   struct rst_member_record record;
 
-  if (sched->register_life != sched->life)
+  if (sched->member_write_incarnation_number != sched->incarnation_number)
     {
-      sched->register_busy = false;
+      sched->member_write_pending = false;
       return;
     }
-  if (reply->result == RST_PLATFORM_NOT_FOUND && sched->register_revision != 0)
+  if (reply->result == RST_PLATFORM_NOT_FOUND
+      && sched->member_record_revision != 0)
     {
-      sched->register_busy = false;
-      tenure_lost (sched);
+      sched->member_write_pending = false;
+      handle_tenure_lost (sched);
       return;
     }
   if (reply->result == RST_PLATFORM_OK && reply->kv_count == 1
@@ -160,190 +164,194 @@
     {
       if (record.fenced_by[0] != '\0')
         {
-          sched->register_busy = false;
-          tenure_lost (sched);
+          sched->member_write_pending = false;
+          handle_tenure_lost (sched);
           return;
         }
-      sched->register_revision = reply->kvs[0].revision;
+      sched->member_record_revision = reply->kvs[0].revision;
       if (record.touch == sched->touch)
         {
-          register_done (sched, reply->kvs[0].revision, reply->sent_at);
+          finish_member_write (sched, reply->kvs[0].revision, reply->sent_at);
           return;
         }
     }
-  sched->register_busy = false;
-  sched->register_next_at
-      = sched_now (sched) + sched_jitter (sched, SCHED_RETRY_MS);
+  sched->member_write_pending = false;
+  sched->member_write_next_at
+      = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
 }
 
 static void
-resolve_register (struct rst_scheduler *sched)
+read_own_record (struct rst_scheduler *sched)
 {
-  char *key = sched_member_register_key (sched, sched->incarnation);
+  char *key = sched_member_record_key (sched, sched->incarnation);
 
   sched->counters.store_reads++;
-  sched->platform->store_get (sched->platform_data, key, on_register_read,
+  sched->platform->store_get (sched->platform_data, key, on_own_record_read,
                               sched);
   g_free (key);
 }
 
 static void
-on_register_written (const struct rst_platform_reply *reply, void *data)
+on_own_record_written (const struct rst_platform_reply *reply, void *data)
 {
   struct rst_scheduler *sched = data;
 
-  if (sched->register_life != sched->life)
-    sched->register_busy = false;
+  if (sched->member_write_incarnation_number != sched->incarnation_number)
+    sched->member_write_pending = false;
   else if (reply->result == RST_PLATFORM_OK)
-    register_done (sched, reply->revision, reply->sent_at);
+    finish_member_write (sched, reply->revision, reply->sent_at);
   else
-    resolve_register (sched);
+    read_own_record (sched);
 }
 
 /* Writes the own register; with it the newest view is declared. */
 static void
-write_register (struct rst_scheduler *sched)
+write_own_record (struct rst_scheduler *sched)
 {
   const struct rst_zone *zone = sched_zone (sched);
   struct rst_member_record record = { 0 };
   char *key;
   char *text;
 
-  if (sched->register_busy || sched_now (sched) < sched->register_next_at)
+  if (sched->member_write_pending
+      || sched_now (sched) < sched->member_write_next_at)
     return;
-  sched->register_busy = true;
-  sched->register_life = sched->life;
+  sched->member_write_pending = true;
+  sched->member_write_incarnation_number = sched->incarnation_number;
   if (zone != NULL)
     {
-      rst_tenure_declare (sched->tenure, zone);
+      rst_tenure_declare_view (sched->tenure, zone);
       sched->declaring_view = zone->revision;
       g_free (sched->declaring_members);
-      sched->declaring_members = members_text (zone);
+      sched->declaring_members = format_members (zone);
     }
   g_strlcpy (record.incarnation, sched->incarnation, RST_NAME_SIZE);
   record.view = sched->declaring_view;
   record.touch = ++sched->touch;
-  key = sched_member_register_key (sched, sched->incarnation);
+  key = sched_member_record_key (sched, sched->incarnation);
   text = rst_member_record_format (&record);
   sched->counters.store_writes++;
   sched->platform->store_put (sched->platform_data, key, text,
-                              (int64_t)sched->register_revision, 0,
-                              on_register_written, sched);
+                              (int64_t)sched->member_record_revision, 0,
+                              on_own_record_written, sched);
   free (text);
   g_free (key);
 }
 
 static void
-session_retry (struct rst_scheduler *sched)
+delay_session_retry (struct rst_scheduler *sched)
 {
   sched->session_next_at
-      = sched_now (sched) + sched_jitter (sched, SCHED_RETRY_MS);
+      = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
 }
 
 static void
-on_granted (const struct rst_platform_reply *reply, void *data)
+on_lease_granted (const struct rst_platform_reply *reply, void *data)
 {
   struct rst_scheduler *sched = data;
 
-  sched->session_busy = false;
-  if (sched->session_life != sched->life)
+  sched->session_call_pending = false;
+  if (sched->session_incarnation_number != sched->incarnation_number)
     return;
   if (reply->result != RST_PLATFORM_OK)
     {
-      session_retry (sched);
+      delay_session_retry (sched);
       return;
     }
   sched->lease = reply->revision;
-  sched->granted_at = reply->sent_at;
-  sched->session = SESSION_ALIVE;
+  sched->lease_granted_at = reply->sent_at;
+  sched->session = SESSION_LEASED;
 }
 
 static void
-on_alive (const struct rst_platform_reply *reply, void *data)
+on_alive_key_written (const struct rst_platform_reply *reply, void *data)
 {
   struct rst_scheduler *sched = data;
 
-  sched->session_busy = false;
-  if (sched->session_life != sched->life)
+  sched->session_call_pending = false;
+  if (sched->session_incarnation_number != sched->incarnation_number)
     return;
   if (reply->result == RST_PLATFORM_OK)
-    sched->session = SESSION_REGISTER;
+    sched->session = SESSION_ANNOUNCED;
   else if (reply->result == RST_PLATFORM_NOT_FOUND)
     sched->session = SESSION_NONE;
   else
-    session_retry (sched);
+    delay_session_retry (sched);
 }
 
 static void
-put_alive (struct rst_scheduler *sched)
+write_alive_key (struct rst_scheduler *sched)
 {
   char *key = sched_member_alive_key (sched, sched->incarnation);
 
   sched->counters.store_writes++;
   sched->platform->store_put (sched->platform_data, key, "{}",
-                              RST_ANY_REVISION, sched->lease, on_alive, sched);
+                              RST_ANY_REVISION, sched->lease,
+                              on_alive_key_written, sched);
   g_free (key);
 }
 
 static void
-on_kept (const struct rst_platform_reply *reply, void *data)
+on_lease_renewed (const struct rst_platform_reply *reply, void *data)
 {
   struct rst_scheduler *sched = data;
 
-  sched->keep_busy = false;
-  if (sched->session != SESSION_CONFIRMED || sched->keep_life != sched->life)
+  sched->lease_renewal_pending = false;
+  if (sched->session != SESSION_REGISTERED
+      || sched->renewal_incarnation_number != sched->incarnation_number)
     return;
   if (reply->result == RST_PLATFORM_OK && reply->revision == sched->lease)
-    rst_tenure_renewed (sched->tenure, reply->sent_at);
+    rst_tenure_record_renewal (sched->tenure, reply->sent_at);
   else if (reply->result == RST_PLATFORM_NOT_FOUND)
     {
       rst_warning (LOG_PREFIX, "Store lease has lapsed.", "incarnation",
                    sched->incarnation);
-      rst_tenure_lease_lost (sched->tenure);
+      rst_tenure_drop_lease (sched->tenure);
       sched->session = SESSION_NONE;
     }
 }
 
 static void
-keep_lease (struct rst_scheduler *sched)
+renew_lease (struct rst_scheduler *sched)
 {
   rst_ms now = sched_now (sched);
 
-  if (sched->keep_busy || now < sched->keep_next_at)
+  if (sched->lease_renewal_pending || now < sched->lease_renewal_next_at)
     return;
-  sched->keep_busy = true;
-  sched->keep_life = sched->life;
-  sched->keep_next_at
+  sched->lease_renewal_pending = true;
+  sched->renewal_incarnation_number = sched->incarnation_number;
+  sched->lease_renewal_next_at
       = now + sched->config.tenure.lease_ms / RENEWALS_PER_LEASE;
   sched->counters.store_writes++;
-  sched->platform->lease_keep (sched->platform_data, sched->lease, on_kept,
-                               sched);
+  sched->platform->lease_keep (sched->platform_data, sched->lease,
+                               on_lease_renewed, sched);
 }
 
 static void
 session_tick (struct rst_scheduler *sched)
 {
-  if (sched->session_busy || sched_now (sched) < sched->session_next_at)
+  if (sched->session_call_pending
+      || sched_now (sched) < sched->session_next_at)
     return;
-  sched->session_life = sched->life;
+  sched->session_incarnation_number = sched->incarnation_number;
   switch (sched->session)
     {
     case SESSION_NONE:
-      sched->session_busy = true;
+      sched->session_call_pending = true;
       sched->counters.store_writes++;
       sched->platform->lease_grant (sched->platform_data,
-                                    sched->config.tenure.lease_ms, on_granted,
-                                    sched);
+                                    sched->config.tenure.lease_ms,
+                                    on_lease_granted, sched);
       break;
-    case SESSION_ALIVE:
-      sched->session_busy = true;
-      put_alive (sched);
+    case SESSION_LEASED:
+      sched->session_call_pending = true;
+      write_alive_key (sched);
       break;
-    case SESSION_REGISTER:
-      write_register (sched);
+    case SESSION_ANNOUNCED:
+      write_own_record (sched);
       break;
-    case SESSION_CONFIRMED:
-      keep_lease (sched);
+    case SESSION_REGISTERED:
+      renew_lease (sched);
       break;
     }
 }
@@ -371,9 +379,9 @@
 }
 
 bool
-sched_member_lease_held (const struct rst_scheduler *sched)
+sched_member_is_registered (const struct rst_scheduler *sched)
 {
-  return sched->session == SESSION_CONFIRMED;
+  return sched->session == SESSION_REGISTERED;
 }
 
 static void
@@ -381,10 +389,10 @@
 {
   const struct rst_zone *zone = sched_zone (sched);
 
-  if (sched->stopping || !sched_member_lease_held (sched))
+  if (sched->stopping || !sched_member_is_registered (sched))
     return;
   if (zone == NULL || sched->joined_revision == 0)
-    sched_zone_write (sched, add_self, NULL, on_joined);
+    sched_zone_update (sched, add_self, NULL, on_joined);
 }
 
 /* Declares a view anew when the members differ from those declared. */
@@ -395,20 +403,20 @@
   char *members;
 
   if (zone == NULL || sched->joined_revision == 0
-      || !sched_member_lease_held (sched)
+      || !sched_member_is_registered (sched)
       || zone->revision <= sched->declared_view)
     return;
-  members = members_text (zone);
+  members = format_members (zone);
   if (sched->declared_members == NULL
       || strcmp (members, sched->declared_members) != 0
       || sched->declared_view < sched->joined_revision)
-    write_register (sched);
+    write_own_record (sched);
   g_free (members);
 }
 
 void
-sched_member_add_missing_takeover (struct rst_scheduler *sched,
-                                   const char *incarnation)
+sched_member_add_takeover (struct rst_scheduler *sched,
+                           const char *incarnation)
 {
   struct takeover *takeover;
 
@@ -425,54 +433,58 @@
 /* A process that listens on the same address proves that this member has
    stopped. */
 static void
-find_predecessors (struct rst_scheduler *sched, const struct rst_zone *zone)
+note_stopped_predecessors (struct rst_scheduler *sched,
+                           const struct rst_zone *zone)
 {
   for (int i = 0; i < zone->member_count; i++)
     if (strcmp (zone->members[i].address, sched->config.address) == 0
         && strcmp (zone->members[i].incarnation, sched->incarnation) != 0)
-      sched_member_stopped (sched, zone->members[i].incarnation);
+      sched_member_note_stopped (sched, zone->members[i].incarnation);
 }
 
 /* Notes the order in which members were first recorded. */
 static void
-note_members (struct rst_scheduler *sched, const struct rst_zone *zone)
+record_first_seen (struct rst_scheduler *sched, const struct rst_zone *zone)
 {
   for (int i = 0; i < zone->member_count; i++)
     {
       const char *incarnation = zone->members[i].incarnation;
       uint64_t *order;
 
-      if (g_hash_table_contains (sched->seen, incarnation))
+      if (g_hash_table_contains (sched->first_seen_order, incarnation))
         continue;
       order = g_new (uint64_t, 1);
       *order = sched_next_id (sched);
-      g_hash_table_insert (sched->seen, g_strdup (incarnation), order);
+      g_hash_table_insert (sched->first_seen_order, g_strdup (incarnation),
+                           order);
     }
 }
 
 /* Jobs of a member that has left need a new owner. */
 static void
-note_changed_members (struct rst_scheduler *sched, const struct rst_zone *zone)
+update_member_list (struct rst_scheduler *sched, const struct rst_zone *zone)
 {
-  char *members = members_text (zone);
+  char *members = format_members (zone);
 
-  if (sched->last_members == NULL
-      || strcmp (members, sched->last_members) != 0)
-    sched->jobs_next_at = 0;
-  g_free (sched->last_members);
-  sched->last_members = members;
+  if (sched->last_member_list == NULL
+      || strcmp (members, sched->last_member_list) != 0)
+    sched->jobs_list_next_at = 0;
+  g_free (sched->last_member_list);
+  sched->last_member_list = members;
 }
 
 uint64_t
-sched_member_seen (const struct rst_scheduler *sched, const char *incarnation)
+sched_member_get_first_seen (const struct rst_scheduler *sched,
+                             const char *incarnation)
 {
-  const uint64_t *order = g_hash_table_lookup (sched->seen, incarnation);
+  const uint64_t *order
+      = g_hash_table_lookup (sched->first_seen_order, incarnation);
 
   return order != NULL ? *order : UINT64_MAX;
 }
 
 void
-sched_member_zone_changed (struct rst_scheduler *sched)
+sched_member_apply_zone (struct rst_scheduler *sched)
 {
   const struct rst_zone *zone = sched_zone (sched);
   bool member = rst_zone_find_member (zone, sched->incarnation) != NULL;
@@ -480,29 +492,29 @@
   if (member && sched->joined_revision == 0)
     sched->joined_revision = zone->revision;
   else if (!member && sched->joined_revision != 0 && !sched->stopping)
-    tenure_lost (sched);
-  note_members (sched, zone);
-  find_predecessors (sched, zone);
-  note_changed_members (sched, zone);
+    handle_tenure_lost (sched);
+  record_first_seen (sched, zone);
+  note_stopped_predecessors (sched, zone);
+  update_member_list (sched, zone);
 }
 
 static bool
-is_zone_peer (const struct rst_scheduler *sched, const struct peer *peer)
+is_zone_scheduler (const struct rst_scheduler *sched, const struct peer *peer)
 {
-  return peer->known && peer->role == RST_ROLE_SCHEDULER
+  return peer->has_greeted && peer->role == RST_ROLE_SCHEDULER
          && strcmp (peer->zone, sched->config.zone) == 0;
 }
 
 static void
-ask_promise (struct rst_scheduler *sched, struct peer *peer)
+request_promise (struct rst_scheduler *sched, struct peer *peer)
 {
   struct rst_message message = { 0 };
 
-  peer->promise_number = sched_next_id (sched);
-  peer->promise_asked_at = sched_now (sched);
+  peer->promise_request_number = sched_next_id (sched);
+  peer->promise_requested_at = sched_now (sched);
   message.type = RST_PROMISE_ASK;
   message.promise.incarnation = sched->incarnation;
-  message.promise.number = peer->promise_number;
+  message.promise.number = peer->promise_request_number;
   sched_send (sched, peer->link, &message);
 }
 
@@ -515,24 +527,25 @@
 
   if (now < sched->promise_next_at || sched->joined_revision == 0)
     return;
-  sched->promise_next_at = now + SCHED_PROMISE_EVERY_MS;
+  sched->promise_next_at = now + SCHED_PROMISE_INTERVAL_MS;
   g_hash_table_iter_init (&iterator, sched->peers);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
-    if (is_zone_peer (sched, value))
-      ask_promise (sched, value);
+    if (is_zone_scheduler (sched, value))
+      request_promise (sched, value);
 }
 
 void
-sched_member_promise_asked (struct rst_scheduler *sched, struct peer *peer,
-                            const struct rst_message *message)
+sched_member_handle_promise_request (struct rst_scheduler *sched,
+                                     struct peer *peer,
+                                     const struct rst_message *message)
 {
   struct rst_message reply = { 0 };
   rst_ms duration;
 
-  if (!is_zone_peer (sched, peer))
+  if (!is_zone_scheduler (sched, peer))
     return;
-  duration = rst_promises_give (sched->promises, message->promise.incarnation,
-                                sched_now (sched));
+  duration = rst_promises_issue (sched->promises, message->promise.incarnation,
+                                 sched_now (sched));
   reply.type = RST_PROMISE;
   reply.promise.incarnation = sched->incarnation;
   reply.promise.number = message->promise.number;
@@ -541,18 +554,19 @@
 }
 
 void
-sched_member_promise (struct rst_scheduler *sched, struct peer *peer,
-                      const struct rst_message *message)
+sched_member_handle_promise (struct rst_scheduler *sched, struct peer *peer,
+                             const struct rst_message *message)
 {
-  if (message->promise.number != peer->promise_number)
+  if (message->promise.number != peer->promise_request_number)
     return;
-  rst_tenure_promised (sched->tenure, message->promise.incarnation,
-                       peer->promise_asked_at,
-                       (rst_ms)message->promise.duration_ms);
+  rst_tenure_record_promise (sched->tenure, message->promise.incarnation,
+                             peer->promise_requested_at,
+                             (rst_ms)message->promise.duration_ms);
 }
 
 static bool
-remove_self (struct rst_scheduler *sched, struct rst_zone *zone, void *data)
+hand_over_and_leave (struct rst_scheduler *sched, struct rst_zone *zone,
+                     void *data)
 {
   const char *others[RST_MEMBERS_MAX];
   int count = 0;
@@ -560,26 +574,27 @@
   (void)data;
   for (int i = 0; i < zone->member_count; i++)
     if (strcmp (zone->members[i].incarnation, sched->incarnation) != 0
-        && g_hash_table_contains (sched->alive, zone->members[i].incarnation))
+        && g_hash_table_contains (sched->alive_members,
+                                  zone->members[i].incarnation))
       others[count++] = zone->members[i].incarnation;
   for (int i = 0; i < zone->owned_count; i++)
     {
-      int pick = rst_rendezvous (zone->owned[i].instance, others, count);
+      int pick = rst_rendezvous_pick (zone->owned[i].instance, others, count);
 
       if (pick >= 0 && strcmp (zone->owned[i].owner, sched->incarnation) == 0)
-        rst_zone_give (zone, zone->owned[i].instance, others[pick]);
+        rst_zone_hand_over (zone, zone->owned[i].instance, others[pick]);
     }
   return rst_zone_remove_member (zone, sched->incarnation) == RST_OK;
 }
 
 static void
-on_given (struct rst_scheduler *sched, bool ok)
+on_handed_over (struct rst_scheduler *sched, bool ok)
 {
   if (!ok)
     return;
   rst_info (LOG_PREFIX, "Handed all instances over.");
-  sched->stop_given = true;
-  sched_member_forget_register (sched, sched->incarnation);
+  sched->handover_done = true;
+  sched_member_delete_record (sched, sched->incarnation);
   sched->counters.store_writes++;
   sched->platform->lease_drop (sched->platform_data, sched->lease,
                                sched_ignore_reply, sched);
@@ -590,20 +605,20 @@
 {
   const struct rst_zone *zone = sched_zone (sched);
 
-  if (sched->stop_given)
+  if (sched->handover_done)
     return;
   if (zone == NULL || sched->joined_revision == 0
       || rst_zone_find_member (zone, sched->incarnation) == NULL
-      || sched_now (sched) - sched->stop_at > SCHED_DRAIN_MS / 2)
-    sched->stop_given = true;
-  else if (sched_member_lease_held (sched))
-    sched_zone_write (sched, remove_self, NULL, on_given);
+      || sched_now (sched) - sched->stop_began_at > SCHED_DRAIN_TIMEOUT_MS / 2)
+    sched->handover_done = true;
+  else if (sched_member_is_registered (sched))
+    sched_zone_update (sched, hand_over_and_leave, NULL, on_handed_over);
 }
 
 void
 sched_member_tick (struct rst_scheduler *sched)
 {
-  bool held = rst_tenure_held (sched->tenure, sched_now (sched));
+  bool held = rst_tenure_is_held (sched->tenure, sched_now (sched));
 
   if (held != sched->tenure_was_held)
     {
@@ -614,7 +629,7 @@
     }
   if (sched->stopping)
     stop_tick (sched);
-  if (!sched->stop_given)
+  if (!sched->handover_done)
     session_tick (sched);
   join_tick (sched);
   declare_tick (sched);
--- a/src/coordination/sched_member_private.h
+++ b/src/coordination/sched_member_private.h
@@ -10,14 +10,14 @@
 /* sched_member.c */
 char *sched_member_alive_key (const struct rst_scheduler *sched,
                               const char *incarnation);
-char *sched_member_register_key (const struct rst_scheduler *sched,
-                                 const char *incarnation);
-bool sched_member_lease_held (const struct rst_scheduler *sched);
-void sched_member_add_missing_takeover (struct rst_scheduler *sched,
-                                        const char *incarnation);
+char *sched_member_record_key (const struct rst_scheduler *sched,
+                               const char *incarnation);
+bool sched_member_is_registered (const struct rst_scheduler *sched);
+void sched_member_add_takeover (struct rst_scheduler *sched,
+                                const char *incarnation);
 /* sched_member_takeover.c */
-void sched_member_forget_register (struct rst_scheduler *sched,
-                                   const char *incarnation);
+void sched_member_delete_record (struct rst_scheduler *sched,
+                                 const char *incarnation);
 void sched_member_takeovers_tick (struct rst_scheduler *sched);
 
 #endif
--- a/src/coordination/sched_member_takeover.c
+++ b/src/coordination/sched_member_takeover.c
@@ -7,17 +7,18 @@
 #define LOG_PREFIX "member"
 
 /** Head start of each rank when several may end a tenure. */
-#define TAKEOVER_RANK_MS 400
+#define TAKEOVER_DELAY_PER_RANK_MS 400
 
 static void
-takeover_pause (struct takeover *takeover)
+delay_takeover (struct takeover *takeover)
 {
   struct rst_scheduler *sched = takeover->sched;
 
   takeover->busy = false;
-  takeover->next_at = sched_now (sched) + sched_jitter (sched, SCHED_RETRY_MS);
+  takeover->next_at
+      = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
   if (!takeover->fenced)
-    rst_promises_refuse (sched->promises, takeover->member, false);
+    rst_promises_set_refused (sched->promises, takeover->member, false);
 }
 
 static void
@@ -34,7 +35,7 @@
       takeover->sched->counters.takeovers++;
     }
   else
-    takeover_pause (takeover);
+    delay_takeover (takeover);
 }
 
 static void
@@ -42,7 +43,7 @@
 {
   struct rst_scheduler *sched = takeover->sched;
   struct rst_member_record record = { 0 };
-  char *key = sched_member_register_key (sched, takeover->member);
+  char *key = sched_member_record_key (sched, takeover->member);
   char *text;
 
   g_strlcpy (record.incarnation, takeover->member, RST_NAME_SIZE);
@@ -57,30 +58,31 @@
 }
 
 static bool
-is_certain (const struct takeover *takeover)
+is_known_stopped (const struct takeover *takeover)
 {
-  return g_hash_table_contains (takeover->sched->certain, takeover->member);
+  return g_hash_table_contains (takeover->sched->stopped_members,
+                                takeover->member);
 }
 
 static void
-on_alive_read (const struct rst_platform_reply *reply, void *data)
+on_alive_key_read (const struct rst_platform_reply *reply, void *data)
 {
   struct takeover *takeover = data;
 
   if (reply->result == RST_PLATFORM_NOT_FOUND)
     write_fence (takeover);
   else
-    takeover_pause (takeover);
+    delay_takeover (takeover);
 }
 
 static void
-read_alive (struct takeover *takeover)
+read_alive_key (struct takeover *takeover)
 {
   struct rst_scheduler *sched = takeover->sched;
   char *key = sched_member_alive_key (sched, takeover->member);
 
   sched->counters.store_reads++;
-  sched->platform->store_get (sched->platform_data, key, on_alive_read,
+  sched->platform->store_get (sched->platform_data, key, on_alive_key_read,
                               takeover);
   g_free (key);
 }
@@ -103,7 +105,7 @@
   if (reply->result != RST_PLATFORM_OK || reply->kv_count != 1
       || rst_member_record_parse (reply->kvs[0].value, &record) != RST_OK)
     {
-      takeover_pause (takeover);
+      delay_takeover (takeover);
       return;
     }
   takeover->revision = reply->kvs[0].revision;
@@ -112,22 +114,22 @@
       takeover->fenced = true;
       takeover->busy = false;
     }
-  else if (is_certain (takeover))
+  else if (is_known_stopped (takeover))
     write_fence (takeover);
   else if (sched->joined_revision == 0 || sched->joined_revision > record.view)
-    takeover_pause (takeover);
+    delay_takeover (takeover);
   else
-    read_alive (takeover);
+    read_alive_key (takeover);
 }
 
 static void
 begin_fence (struct takeover *takeover)
 {
   struct rst_scheduler *sched = takeover->sched;
-  char *key = sched_member_register_key (sched, takeover->member);
+  char *key = sched_member_record_key (sched, takeover->member);
 
   takeover->busy = true;
-  rst_promises_refuse (sched->promises, takeover->member, true);
+  rst_promises_set_refused (sched->promises, takeover->member, true);
   sched->counters.store_reads++;
   sched->platform->store_get (sched->platform_data, key, on_member_read,
                               takeover);
@@ -149,17 +151,17 @@
 }
 
 static void
-on_removed (struct rst_scheduler *sched, bool ok)
+ignore_removal_result (struct rst_scheduler *sched, bool ok)
 {
   (void)sched;
   (void)ok;
 }
 
 void
-sched_member_forget_register (struct rst_scheduler *sched,
-                              const char *incarnation)
+sched_member_delete_record (struct rst_scheduler *sched,
+                            const char *incarnation)
 {
-  char *key = sched_member_register_key (sched, incarnation);
+  char *key = sched_member_record_key (sched, incarnation);
 
   sched->counters.store_writes++;
   sched->platform->store_delete (sched->platform_data, key, RST_ANY_REVISION,
@@ -169,8 +171,8 @@
 
 /* Own place among the members that may end a tenure. */
 static int
-own_rank (const struct rst_scheduler *sched, const struct rst_zone *zone,
-          const char *without)
+get_own_rank (const struct rst_scheduler *sched, const struct rst_zone *zone,
+              const char *excluded)
 {
   int rank = 0;
 
@@ -180,8 +182,8 @@
 
       if (strcmp (incarnation, sched->incarnation) == 0)
         break;
-      if (strcmp (incarnation, without) != 0
-          && g_hash_table_contains (sched->alive, incarnation))
+      if (strcmp (incarnation, excluded) != 0
+          && g_hash_table_contains (sched->alive_members, incarnation))
         rank++;
     }
   return rank;
@@ -192,19 +194,21 @@
 {
   struct rst_scheduler *sched = takeover->sched;
   rst_ms now = sched_now (sched);
-  rst_ms wait = own_rank (sched, zone, takeover->member) * TAKEOVER_RANK_MS;
+  rst_ms wait = get_own_rank (sched, zone, takeover->member)
+                * TAKEOVER_DELAY_PER_RANK_MS;
 
   if (takeover->busy || takeover->fenced || now < takeover->next_at)
     return;
-  if (is_certain (takeover))
+  if (is_known_stopped (takeover))
     begin_fence (takeover);
   else if (now - takeover->noticed_at >= wait
-           && rst_promises_may_end (sched->promises, takeover->member, now))
+           && rst_promises_allow_fencing (sched->promises, takeover->member,
+                                          now))
     begin_fence (takeover);
 }
 
 static void
-find_missing (struct rst_scheduler *sched, const struct rst_zone *zone)
+add_missing_members (struct rst_scheduler *sched, const struct rst_zone *zone)
 {
   for (int i = 0; i < zone->member_count; i++)
     {
@@ -212,9 +216,9 @@
 
       if (strcmp (incarnation, sched->incarnation) == 0)
         continue;
-      if (!g_hash_table_contains (sched->alive, incarnation)
-          || g_hash_table_contains (sched->certain, incarnation))
-        sched_member_add_missing_takeover (sched, incarnation);
+      if (!g_hash_table_contains (sched->alive_members, incarnation)
+          || g_hash_table_contains (sched->stopped_members, incarnation))
+        sched_member_add_takeover (sched, incarnation);
     }
 }
 
@@ -228,13 +232,14 @@
     {
       struct takeover *next = CK_LIST_NEXT (takeover, entry);
       bool gone = rst_zone_find_member (zone, takeover->member) == NULL;
-      bool back = !takeover->fenced && !is_certain (takeover)
-                  && g_hash_table_contains (sched->alive, takeover->member);
+      bool back
+          = !takeover->fenced && !is_known_stopped (takeover)
+            && g_hash_table_contains (sched->alive_members, takeover->member);
 
       if (!takeover->busy && (gone || back))
         {
           if (gone && takeover->fenced)
-            sched_member_forget_register (sched, takeover->member);
+            sched_member_delete_record (sched, takeover->member);
           CK_LIST_REMOVE (takeover, entry);
           g_free (takeover);
         }
@@ -253,28 +258,30 @@
     return;
   drop_finished_takeovers (sched, zone);
   /* A member acts as one only while its own lease stands. */
-  if (!sched_member_lease_held (sched))
+  if (!sched_member_is_registered (sched))
     return;
-  find_missing (sched, zone);
+  add_missing_members (sched, zone);
   CK_LIST_FOREACH (takeover, &sched->takeovers, entry)
   {
     takeover_tick (takeover, zone);
     any_fenced = any_fenced || takeover->fenced;
   }
   if (any_fenced)
-    sched_zone_write (sched, remove_fenced, NULL, on_removed);
+    sched_zone_update (sched, remove_fenced, NULL, ignore_removal_result);
 }
 
 void
-sched_member_stopped (struct rst_scheduler *sched, const char *incarnation)
+sched_member_note_stopped (struct rst_scheduler *sched,
+                           const char *incarnation)
 {
   if (strcmp (incarnation, sched->incarnation) == 0)
     return;
-  rst_tenure_stopped (sched->tenure, incarnation, sched_now (sched));
-  if (!g_hash_table_contains (sched->certain, incarnation))
+  rst_tenure_record_member_stop (sched->tenure, incarnation,
+                                 sched_now (sched));
+  if (!g_hash_table_contains (sched->stopped_members, incarnation))
     {
       rst_info (LOG_PREFIX, "A member has certainly stopped.", "member",
                 incarnation);
-      g_hash_table_add (sched->certain, g_strdup (incarnation));
+      g_hash_table_add (sched->stopped_members, g_strdup (incarnation));
     }
 }
--- a/src/coordination/sched_peer.c
+++ b/src/coordination/sched_peer.c
@@ -12,10 +12,10 @@
 #define LOG_PREFIX "peer"
 
 /** Time between two attempts to connect to peers. */
-#define CONNECT_EVERY_MS 500
+#define CONNECT_INTERVAL_MS 500
 
 /** Digests that must differ before all branches are sent again. */
-#define MISMATCHES_FOR_ALL 2
+#define MISMATCHES_BEFORE_RESEND 2
 
 struct peer *
 sched_peer_by_link (struct rst_scheduler *sched, uint64_t link)
@@ -35,14 +35,14 @@
     {
       struct peer *peer = value;
 
-      if (peer->known && strcmp (peer->incarnation, incarnation) == 0)
+      if (peer->has_greeted && strcmp (peer->incarnation, incarnation) == 0)
         return peer;
     }
   return NULL;
 }
 
 static struct peer *
-peer_by_address (struct rst_scheduler *sched, const char *address)
+find_peer_by_address (struct rst_scheduler *sched, const char *address)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -59,7 +59,7 @@
 }
 
 void
-sched_peer_say_hello (struct rst_scheduler *sched, uint64_t link)
+sched_peer_send_hello (struct rst_scheduler *sched, uint64_t link)
 {
   struct rst_message message = { 0 };
 
@@ -106,7 +106,8 @@
 }
 
 static void
-push_newer (struct rst_scheduler *sched, uint64_t link, uint64_t newer_than)
+push_newer_branches (struct rst_scheduler *sched, uint64_t link,
+                     uint64_t newer_than)
 {
   struct push push = { sched, link, newer_than };
 
@@ -114,8 +115,8 @@
 }
 
 void
-sched_peer_push (struct rst_scheduler *sched, const char *key,
-                 uint64_t revision, const char *value)
+sched_peer_push_branch (struct rst_scheduler *sched, const char *key,
+                        uint64_t revision, const char *value)
 {
   GHashTableIter iterator;
   gpointer item;
@@ -126,7 +127,7 @@
       const struct peer *peer = item;
 
       /* Schedulers hear of it from the store, or else by the digests. */
-      if (peer->known && peer->role == RST_ROLE_ENTRY)
+      if (peer->has_greeted && peer->role == RST_ROLE_ENTRY)
         send_branch (sched, peer->link, key, revision, value);
     }
 }
@@ -153,38 +154,39 @@
    incoming link proves nothing, since its greeting may be older than the
    record; a link is opened to find out. */
 static void
-check_member (struct rst_scheduler *sched, const struct peer *peer,
-              const struct rst_member *member)
+check_member_stopped (struct rst_scheduler *sched, const struct peer *peer,
+                      const struct rst_member *member)
 {
-  uint64_t seen = sched_member_seen (sched, member->incarnation);
-  struct peer *probe;
+  uint64_t first_seen
+      = sched_member_get_first_seen (sched, member->incarnation);
+  struct peer *is_probe;
 
   if (strcmp (member->address, peer->address) != 0
       || strcmp (member->incarnation, peer->incarnation) == 0)
     return;
-  if (peer->outgoing && peer->order > seen)
-    sched_member_stopped (sched, member->incarnation);
+  if (peer->outgoing && peer->order > first_seen)
+    sched_member_note_stopped (sched, member->incarnation);
   else if (!peer->outgoing)
     {
-      probe = open_link (sched, member->address);
-      if (probe != NULL)
-        probe->probe = true;
+      is_probe = open_link (sched, member->address);
+      if (is_probe != NULL)
+        is_probe->is_probe = true;
     }
 }
 
 static void
-check_address (struct rst_scheduler *sched, const struct peer *peer)
+check_members_at_address (struct rst_scheduler *sched, const struct peer *peer)
 {
   const struct rst_zone *zone = sched_zone (sched);
 
   for (int i = 0; zone != NULL && i < zone->member_count; i++)
-    check_member (sched, peer, &zone->members[i]);
+    check_member_stopped (sched, peer, &zone->members[i]);
 }
 
 static void
 copy_hello (struct peer *peer, const struct rst_hello *hello)
 {
-  peer->known = true;
+  peer->has_greeted = true;
   peer->role = hello->role;
   g_strlcpy (peer->name, hello->name, RST_NAME_SIZE);
   g_strlcpy (peer->zone, hello->zone, RST_NAME_SIZE);
@@ -194,34 +196,34 @@
 }
 
 void
-sched_peer_hello (struct rst_scheduler *sched, struct peer *peer,
-                  const struct rst_message *message)
+sched_peer_handle_hello (struct rst_scheduler *sched, struct peer *peer,
+                         const struct rst_message *message)
 {
   const struct rst_hello *hello = &message->hello;
-  bool first = !peer->known;
+  bool first = !peer->has_greeted;
 
   /* The same process goes on under another incarnation. */
   if (!first && strcmp (peer->incarnation, hello->incarnation) != 0)
-    sched_member_stopped (sched, peer->incarnation);
+    sched_member_note_stopped (sched, peer->incarnation);
   copy_hello (peer, hello);
   if (peer->role == RST_ROLE_SCHEDULER)
-    check_address (sched, peer);
-  if (peer->probe)
+    check_members_at_address (sched, peer);
+  if (peer->is_probe)
     {
       sched->links->close (sched->links_data, peer->link);
-      peer->known = false;
+      peer->has_greeted = false;
     }
   else if (first)
     {
       rst_debug (LOG_PREFIX, "Peer is known.", "peer", peer->incarnation);
-      push_newer (sched, peer->link, 0);
+      push_newer_branches (sched, peer->link, 0);
       sched->load_changed = true;
     }
 }
 
 void
-sched_peer_load (struct rst_scheduler *sched, struct peer *peer,
-                 const struct rst_message *message)
+sched_peer_handle_load (struct rst_scheduler *sched, struct peer *peer,
+                        const struct rst_message *message)
 {
   (void)sched;
   peer->load = message->load;
@@ -232,25 +234,25 @@
 }
 
 void
-sched_peer_digest (struct rst_scheduler *sched, struct peer *peer,
-                   const struct rst_message *message)
+sched_peer_handle_digest (struct rst_scheduler *sched, struct peer *peer,
+                          const struct rst_message *message)
 {
   peer->digest_hash = message->digest.hash;
-  peer->digest_newest = message->digest.newest;
+  peer->digest_newest_revision = message->digest.newest;
   if (peer->digest_hash == rst_settings_hash (sched->settings))
     {
-      peer->mismatches = 0;
+      peer->digest_mismatches = 0;
       if (peer->role == RST_ROLE_SCHEDULER)
-        sched_record_informed (sched, peer);
+        sched_record_note_informed (sched, peer);
       return;
     }
-  peer->mismatches++;
-  if (peer->digest_newest < rst_settings_newest (sched->settings))
-    push_newer (sched, peer->link, peer->digest_newest);
-  if (peer->mismatches >= MISMATCHES_FOR_ALL)
+  peer->digest_mismatches++;
+  if (peer->digest_newest_revision < rst_settings_newest (sched->settings))
+    push_newer_branches (sched, peer->link, peer->digest_newest_revision);
+  if (peer->digest_mismatches >= MISMATCHES_BEFORE_RESEND)
     {
-      push_newer (sched, peer->link, 0);
-      peer->mismatches = 0;
+      push_newer_branches (sched, peer->link, 0);
+      peer->digest_mismatches = 0;
     }
 }
 
@@ -258,7 +260,7 @@
 connect_to (struct rst_scheduler *sched, const char *address)
 {
   if (strcmp (address, sched->config.address) != 0
-      && peer_by_address (sched, address) == NULL)
+      && find_peer_by_address (sched, address) == NULL)
     open_link (sched, address);
 }
 
@@ -280,7 +282,7 @@
 
   if (now < sched->connect_next_at || sched->stopped)
     return;
-  sched->connect_next_at = now + sched_jitter (sched, CONNECT_EVERY_MS);
+  sched->connect_next_at = now + sched_jitter (sched, CONNECT_INTERVAL_MS);
   rst_settings_records (sched->settings, connect_to_members, sched);
   for (guint i = 0; i < sched->seeds->len; i++)
     connect_to (sched, g_ptr_array_index (sched->seeds, i));
@@ -292,7 +294,8 @@
   rst_ms now = sched_now (sched);
   struct rst_message message = { 0 };
 
-  if (!peer->known || now - peer->digest_sent_at < SCHED_DIGEST_EVERY_MS)
+  if (!peer->has_greeted
+      || now - peer->digest_sent_at < SCHED_DIGEST_INTERVAL_MS)
     return;
   peer->digest_sent_at = now;
   message.type = RST_DIGEST;
@@ -334,17 +337,17 @@
   message.load.incarnation = sched->incarnation;
   message.load.zone = sched->config.zone;
   message.load.queued = sched->queued;
-  message.load.ready = rst_scheduler_ready (sched);
+  message.load.ready = rst_scheduler_is_ready (sched);
   for (guint i = 0; i < sched->owned->len; i++)
     {
       const struct instance *instance = g_ptr_array_index (sched->owned, i);
 
-      if (sched_instance_usable (sched, instance))
+      if (sched_instance_is_usable (sched, instance))
         add_load (&message.load, instance);
     }
   g_hash_table_iter_init (&iterator, sched->peers);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
-    if (((struct peer *)value)->known)
+    if (((struct peer *)value)->has_greeted)
       sched_send (sched, ((struct peer *)value)->link, &message);
 }
 
@@ -353,8 +356,8 @@
 {
   rst_ms since = sched_now (sched) - sched->load_sent_at;
 
-  if (since < SCHED_LOAD_LEAST_MS
-      || (!sched->load_changed && since < SCHED_LOAD_EVERY_MS))
+  if (since < SCHED_LOAD_MIN_INTERVAL_MS
+      || (!sched->load_changed && since < SCHED_LOAD_MAX_INTERVAL_MS))
     return;
   sched->load_sent_at = sched_now (sched);
   sched->load_changed = false;
@@ -362,7 +365,7 @@
 }
 
 void
-sched_peer_say_hello_to_all (struct rst_scheduler *sched)
+sched_peer_send_hello_to_all (struct rst_scheduler *sched)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -370,7 +373,7 @@
   g_hash_table_iter_init (&iterator, sched->peers);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     if (((struct peer *)value)->open)
-      sched_peer_say_hello (sched, ((struct peer *)value)->link);
+      sched_peer_send_hello (sched, ((struct peer *)value)->link);
 }
 
 void
--- a/src/coordination/sched_query.c
+++ b/src/coordination/sched_query.c
@@ -12,15 +12,15 @@
 #define LOG_PREFIX "query"
 
 /** Thousandths of a retry earned by each query. */
-#define RETRY_PER_QUERY 200
+#define RETRY_EARNED_PER_QUERY_PERMILLE 200
 
 /** Most retries saved up. */
-#define RETRIES_MAX 100
+#define SAVED_RETRIES_MAX 100
 
 static void
 record_free (gpointer data)
 {
-  struct record *record = data;
+  struct request_record *record = data;
 
   rst_message_clear (&record->answer);
   g_free (record);
@@ -31,11 +31,12 @@
 {
   sched->records
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, record_free);
-  sched->forwards
+  sched->query_forwards
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, NULL);
-  sched->taken
+  sched->recent_messages
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  rst_budget_init (&sched->retry_budget, RETRY_PER_QUERY, RETRIES_MAX);
+  rst_retry_budget_init (&sched->retry_budget, RETRY_EARNED_PER_QUERY_PERMILLE,
+                         SAVED_RETRIES_MAX);
 }
 
 void
@@ -89,23 +90,23 @@
 
 /* Keeps the end for repeats; what did not run may be tried anew. */
 static void
-keep_record (struct query *query, const struct rst_message *message)
+store_outcome (struct query *query, const struct rst_message *message)
 {
   struct rst_scheduler *sched = query->sched;
-  struct record *record;
+  struct request_record *record;
 
   if (!query->keyed)
     return;
   record = g_hash_table_lookup (sched->records, query->record_key);
-  if (record == NULL || record->running != query)
+  if (record == NULL || record->running_query != query)
     return;
   if (message->answer.outcome == RST_NOT_RUN)
     {
       g_hash_table_remove (sched->records, query->record_key);
       return;
     }
-  record->running = NULL;
-  record->expires_at = sched_now (sched) + SCHED_RECORD_MS;
+  record->running_query = NULL;
+  record->expires_at = sched_now (sched) + SCHED_RECORD_TTL_MS;
   rst_message_copy (message, &record->answer);
 }
 
@@ -120,27 +121,27 @@
   message.answer = *answer;
   count_outcome (sched, answer->outcome);
   log_outcome (query, answer);
-  keep_record (query, &message);
+  store_outcome (query, &message);
   CK_LIST_FOREACH (waiter, &query->waiters, entry)
   {
     message.id = waiter->id;
     sched_send (sched, waiter->link, &message);
   }
   if (query->forward_id != 0)
-    g_hash_table_remove (sched->forwards, &query->forward_id);
+    g_hash_table_remove (sched->query_forwards, &query->forward_id);
   sched->running_queries--;
   query_free (query);
 }
 
 void
-sched_query_refuse_query (struct query *query, uint64_t status,
-                          const char *reason, const char *detail)
+sched_query_reject (struct query *query, uint64_t status, const char *reason,
+                    const char *detail)
 {
   struct rst_answer answer = { 0 };
 
   /* An earlier attempt may have run. */
   answer.outcome = query->may_have_run ? RST_UNKNOWN : RST_NOT_RUN;
-  answer.status = query->may_have_run ? STATUS_TIMEOUT : status;
+  answer.status = query->may_have_run ? HTTP_STATUS_TIMEOUT : status;
   answer.reason = (char *)reason;
   answer.detail = (char *)detail;
   sched_query_end (query, &answer);
@@ -163,7 +164,7 @@
 }
 
 void
-sched_query_refuse_message (struct rst_scheduler *sched, uint64_t link,
+sched_query_reject_message (struct rst_scheduler *sched, uint64_t link,
                             uint64_t id, uint64_t status, const char *reason,
                             const char *detail)
 {
@@ -194,7 +195,7 @@
 }
 
 void
-sched_query_unqueue_head (struct query_queue *queue)
+sched_query_dequeue_head (struct query_queue *queue)
 {
   struct query *query = CK_STAILQ_FIRST (queue);
 
@@ -217,8 +218,8 @@
           CK_STAILQ_REMOVE (queue, query, query, entry);
           query->team->queued--;
           query->sched->queued--;
-          sched_query_refuse_query (query, STATUS_UNAVAILABLE, "deadline",
-                                    "no slot became free before the deadline");
+          sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "deadline",
+                              "no slot became free before the deadline");
         }
       query = next;
     }
@@ -233,7 +234,7 @@
 
   if (sched->queued == 0 || now < sched->expire_next_at)
     return;
-  sched->expire_next_at = now + SCHED_EXPIRE_EVERY_MS;
+  sched->expire_next_at = now + SCHED_EXPIRE_INTERVAL_MS;
   g_hash_table_iter_init (&iterator, sched->teams);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
@@ -245,24 +246,24 @@
 }
 
 static void
-drop_ghosts (struct rst_scheduler *sched)
+release_expired_runs (struct rst_scheduler *sched)
 {
   rst_ms now = sched_now (sched);
 
   for (guint i = 0; i < sched->owned->len; i++)
     {
       struct instance *instance = g_ptr_array_index (sched->owned, i);
-      struct work *work = CK_LIST_FIRST (&instance->work);
+      struct run *run = CK_LIST_FIRST (&instance->runs);
 
       if (instance->info.kind != RST_RUNNER)
         continue;
-      while (work != NULL)
+      while (run != NULL)
         {
-          struct work *next = CK_LIST_NEXT (work, entry);
+          struct run *next = CK_LIST_NEXT (run, entry);
 
-          if (work->ghost_until != 0 && now >= work->ghost_until)
-            sched_work_remove (work);
-          work = next;
+          if (run->in_doubt_until != 0 && now >= run->in_doubt_until)
+            sched_run_remove (run);
+          run = next;
         }
     }
 }
@@ -271,7 +272,8 @@
 record_expired (gpointer key, gpointer value, gpointer userdata)
 {
   (void)key;
-  return ((struct record *)value)->expires_at <= *(const rst_ms *)userdata;
+  return ((struct request_record *)value)->expires_at
+         <= *(const rst_ms *)userdata;
 }
 
 static gboolean
@@ -283,27 +285,28 @@
 
 /* Earlier homes that did not answer may have run the request. */
 static void
-expire_asked (struct rst_scheduler *sched)
+expire_home_inquiries (struct rst_scheduler *sched)
 {
   rst_ms now = sched_now (sched);
   GList *records;
 
-  if (!sched->asking)
+  if (!sched->awaiting_home_replies)
     return;
-  sched->asking = false;
+  sched->awaiting_home_replies = false;
   records = g_hash_table_get_values (sched->records);
   for (GList *item = records; item != NULL; item = item->next)
     {
-      struct query *query = ((struct record *)item->data)->running;
+      struct query *query
+          = ((struct request_record *)item->data)->running_query;
 
-      if (query == NULL || query->asked == 0)
+      if (query == NULL || query->pending_home_replies == 0)
         continue;
-      if (now < query->ask_until)
-        sched->asking = true;
+      if (now < query->home_reply_deadline)
+        sched->awaiting_home_replies = true;
       else
         {
-          query->asked = 0;
-          sched_query_end_unsure (query, "an earlier home did not answer");
+          query->pending_home_replies = 0;
+          sched_query_end_in_doubt (query, "an earlier home did not answer");
         }
     }
   g_list_free (records);
@@ -315,23 +318,24 @@
   rst_ms now = sched_now (sched);
 
   if (sched->queued > 0 && !sched_may_start (sched))
-    sched_query_move_all (sched);
-  sched_query_spread_all (sched);
+    sched_query_flush_queues (sched);
+  sched_query_offload_queues (sched);
   expire_all (sched);
   sched_query_expire_forwards (sched);
-  expire_asked (sched);
+  expire_home_inquiries (sched);
   if (now >= sched->sweep_next_at)
     {
-      sched->sweep_next_at = now + SCHED_SWEEP_EVERY_MS;
-      drop_ghosts (sched);
+      sched->sweep_next_at = now + SCHED_SWEEP_INTERVAL_MS;
+      release_expired_runs (sched);
       g_hash_table_foreach_remove (sched->records, record_expired, &now);
-      g_hash_table_foreach_remove (sched->taken, taken_expired, &now);
+      g_hash_table_foreach_remove (sched->recent_messages, taken_expired,
+                                   &now);
     }
   sched_query_dispatch (sched);
 }
 
 bool
-sched_query_busy (const struct rst_scheduler *sched)
+sched_query_is_busy (const struct rst_scheduler *sched)
 {
   return sched->running_queries > 0;
 }
@@ -362,10 +366,10 @@
       clear_queue (&team->urgent);
       clear_queue (&team->normal);
     }
-  g_hash_table_iter_init (&iterator, sched->forwards);
+  g_hash_table_iter_init (&iterator, sched->query_forwards);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     query_free (value);
-  g_hash_table_destroy (sched->forwards);
+  g_hash_table_destroy (sched->query_forwards);
   g_hash_table_destroy (sched->records);
-  g_hash_table_destroy (sched->taken);
+  g_hash_table_destroy (sched->recent_messages);
 }
--- a/src/coordination/sched_query_forward.c
+++ b/src/coordination/sched_query_forward.c
@@ -9,12 +9,12 @@
  */
 #define FORWARD_GRACE_MS 500
 
-#define STATUS_BAD_GATEWAY 502
+#define HTTP_STATUS_BAD_GATEWAY 502
 
 static int64_t
-room_at (const struct peer *peer)
+count_free_slots (const struct peer *peer)
 {
-  return (int64_t)peer->load.slots_free - (int64_t)peer->loaned
+  return (int64_t)peer->load.slots_free - (int64_t)peer->forwarded_queries
          - (int64_t)peer->load.queued;
 }
 
@@ -23,7 +23,7 @@
 sched_query_choose_peer (struct rst_scheduler *sched)
 {
   struct peer *best = NULL;
-  int64_t best_room = 0;
+  int64_t best_free_slots = 0;
   GHashTableIter iterator;
   gpointer value;
 
@@ -31,21 +31,21 @@
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
       struct peer *peer = value;
-      int64_t room;
+      int64_t free_slots;
 
-      if (!peer->known || peer->role != RST_ROLE_SCHEDULER || !peer->has_load
-          || !peer->load.ready
+      if (!peer->has_greeted || peer->role != RST_ROLE_SCHEDULER
+          || !peer->has_load || !peer->load.ready
           || rst_settings_zone_out (sched->settings, peer->zone))
         continue;
-      room = room_at (peer);
-      if (room <= 0)
+      free_slots = count_free_slots (peer);
+      if (free_slots <= 0)
         continue;
       if (strcmp (peer->zone, sched->config.zone) == 0)
-        room *= 2;
-      if (room > best_room)
+        free_slots *= 2;
+      if (free_slots > best_free_slots)
         {
           best = peer;
-          best_room = room;
+          best_free_slots = free_slots;
         }
     }
   return best;
@@ -58,7 +58,7 @@
 }
 
 bool
-sched_query_forward_query (struct query *query, struct peer *peer)
+sched_query_forward (struct query *query, struct peer *peer)
 {
   struct rst_scheduler *sched = query->sched;
   struct rst_message message = { 0 };
@@ -78,8 +78,8 @@
     return false;
   query->forward_link = peer->link;
   query->forward_id = message.id;
-  peer->loaned++;
-  g_hash_table_insert (sched->forwards, &query->forward_id, query);
+  peer->forwarded_queries++;
+  g_hash_table_insert (sched->query_forwards, &query->forward_id, query);
   rst_info (LOG_PREFIX, "Query forwarded.", "request", query->request_id,
             "team", query->team->name, "zone", peer->zone, "scheduler",
             peer->incarnation, "reason", "no free slot here");
@@ -87,27 +87,28 @@
 }
 
 static void
-forget_forward (struct query *query)
+clear_forward (struct query *query)
 {
   struct peer *peer = sched_peer_by_link (query->sched, query->forward_link);
 
-  if (peer != NULL && peer->loaned > 0)
-    peer->loaned--;
-  g_hash_table_remove (query->sched->forwards, &query->forward_id);
+  if (peer != NULL && peer->forwarded_queries > 0)
+    peer->forwarded_queries--;
+  g_hash_table_remove (query->sched->query_forwards, &query->forward_id);
   query->forward_id = 0;
   query->forward_link = 0;
 }
 
 void
-sched_query_answer (struct rst_scheduler *sched, uint64_t link,
-                    const struct rst_message *message)
+sched_query_handle_answer (struct rst_scheduler *sched, uint64_t link,
+                           const struct rst_message *message)
 {
-  struct query *query = g_hash_table_lookup (sched->forwards, &message->id);
+  struct query *query
+      = g_hash_table_lookup (sched->query_forwards, &message->id);
 
   /* A late answer, or one to another request, reaches nobody. */
   if (query == NULL || query->forward_link != link)
     return;
-  forget_forward (query);
+  clear_forward (query);
   if (message->answer.outcome == RST_NOT_RUN
       && sched_query_has_free_slot (sched)
       && sched_now (sched) < query->deadline)
@@ -117,36 +118,36 @@
       return;
     }
   if (message->answer.outcome == RST_NOT_RUN)
-    sched_query_refuse_query (query, message->answer.status,
-                              message->answer.reason, message->answer.detail);
+    sched_query_reject (query, message->answer.status, message->answer.reason,
+                        message->answer.detail);
   else
     sched_query_end (query, &message->answer);
 }
 
 static void
-end_lost_forward (struct query *query)
+handle_lost_forward (struct query *query)
 {
-  forget_forward (query);
+  clear_forward (query);
   query->may_have_run = true;
   if (query->idempotent && sched_now (query->sched) < query->deadline
-      && rst_budget_spend (&query->sched->retry_budget))
+      && rst_retry_budget_take_retry (&query->sched->retry_budget))
     sched_query_enqueue (query, true);
   else
-    sched_query_end_unknown (query, STATUS_BAD_GATEWAY, "", 0,
+    sched_query_end_unknown (query, HTTP_STATUS_BAD_GATEWAY, "", 0,
                              "the link to the scheduler that had it broke");
 }
 
 void
-sched_query_link_closed (struct rst_scheduler *sched, uint64_t link)
+sched_query_handle_link_closed (struct rst_scheduler *sched, uint64_t link)
 {
-  GList *queries = g_hash_table_get_values (sched->forwards);
+  GList *queries = g_hash_table_get_values (sched->query_forwards);
 
   for (GList *item = queries; item != NULL; item = item->next)
     {
       struct query *query = item->data;
 
       if (query->forward_link == link)
-        end_lost_forward (query);
+        handle_lost_forward (query);
     }
   g_list_free (queries);
 }
@@ -157,17 +158,17 @@
   rst_ms now = sched_now (sched);
   GList *queries;
 
-  if (g_hash_table_size (sched->forwards) == 0)
+  if (g_hash_table_size (sched->query_forwards) == 0)
     return;
-  queries = g_hash_table_get_values (sched->forwards);
+  queries = g_hash_table_get_values (sched->query_forwards);
   for (GList *item = queries; item != NULL; item = item->next)
     {
       struct query *query = item->data;
 
       if (now >= query->deadline + FORWARD_GRACE_MS)
         {
-          forget_forward (query);
-          sched_query_end_unknown (query, STATUS_TIMEOUT, "", 0,
+          clear_forward (query);
+          sched_query_end_unknown (query, HTTP_STATUS_TIMEOUT, "", 0,
                                    "no answer before the deadline");
         }
     }
--- a/src/coordination/sched_query_intake.c
+++ b/src/coordination/sched_query_intake.c
@@ -6,33 +6,33 @@
 #define LOG_PREFIX "query"
 
 /** How long a message may arrive a second time. */
-#define DUPLICATE_MS 5000
+#define DUPLICATE_WINDOW_MS 5000
 
-#define STATUS_CONFLICT 409
+#define HTTP_STATUS_CONFLICT 409
 
-#define STATUS_TOO_MANY 429
+#define HTTP_STATUS_TOO_MANY 429
 
 /* Answers a repeat from the record of its request.  Returns false when the
    request is new. */
 static bool
-answer_repeat (struct rst_scheduler *sched, uint64_t link,
-               const struct rst_message *message, const char *key)
+reply_to_repeat (struct rst_scheduler *sched, uint64_t link,
+                 const struct rst_message *message, const char *key)
 {
-  struct record *record = g_hash_table_lookup (sched->records, key);
+  struct request_record *record = g_hash_table_lookup (sched->records, key);
   struct rst_message answer;
 
   if (record == NULL)
     return false;
-  if (record->elsewhere)
+  if (record->home_moved)
     {
-      sched_query_refuse_message (sched, link, message->id, STATUS_UNAVAILABLE,
-                                  "home-changed",
+      sched_query_reject_message (sched, link, message->id,
+                                  HTTP_STATUS_UNAVAILABLE, "home-changed",
                                   "another scheduler keeps this id now");
       return true;
     }
-  if (record->running != NULL)
+  if (record->running_query != NULL)
     {
-      sched_query_add_waiter (record->running, link, message->id);
+      sched_query_add_waiter (record->running_query, link, message->id);
       return true;
     }
   answer = record->answer;
@@ -50,11 +50,11 @@
 
   g_snprintf (key, sizeof key, "%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT,
               link, id);
-  if (g_hash_table_contains (sched->taken, key))
+  if (g_hash_table_contains (sched->recent_messages, key))
     return true;
   expires_at = g_new (rst_ms, 1);
-  *expires_at = sched_now (sched) + DUPLICATE_MS;
-  g_hash_table_insert (sched->taken, g_strdup (key), expires_at);
+  *expires_at = sched_now (sched) + DUPLICATE_WINDOW_MS;
+  g_hash_table_insert (sched->recent_messages, g_strdup (key), expires_at);
   return false;
 }
 
@@ -62,21 +62,21 @@
 query_create (struct rst_scheduler *sched, uint64_t link,
               const struct rst_message *message)
 {
-  const struct rst_query *asked = &message->query;
+  const struct rst_query *request = &message->query;
   rst_ms bound = rst_settings_cell (sched->settings)->max_deadline_ms;
   rst_ms now = sched_now (sched);
   struct query *query = g_new0 (struct query, 1);
 
   query->sched = sched;
-  query->team = sched_team (sched, asked->team);
-  query->keyed = asked->keyed;
-  query->idempotent = asked->idempotent;
-  query->urgent = asked->urgent;
-  query->hops = asked->hops;
+  query->team = sched_team_get (sched, request->team);
+  query->keyed = request->keyed;
+  query->idempotent = request->idempotent;
+  query->urgent = request->urgent;
+  query->hops = request->hops;
   query->deadline
-      = now + MIN ((rst_ms)MIN (asked->deadline_ms, INT32_MAX), bound);
-  g_strlcpy (query->request_id, asked->request_id, sizeof query->request_id);
-  rst_blob_set (&query->body, asked->body.data, asked->body.length);
+      = now + MIN ((rst_ms)MIN (request->deadline_ms, INT32_MAX), bound);
+  g_strlcpy (query->request_id, request->request_id, sizeof query->request_id);
+  rst_blob_set (&query->body, request->body.data, request->body.length);
   CK_LIST_INIT (&query->waiters);
   sched_query_add_waiter (query, link, message->id);
   sched->running_queries++;
@@ -86,11 +86,11 @@
 static void
 add_record (struct query *query, const char *key)
 {
-  struct record *record = g_new0 (struct record, 1);
+  struct request_record *record = g_new0 (struct request_record, 1);
 
   g_strlcpy (record->key, key, sizeof record->key);
   g_strlcpy (query->record_key, key, sizeof query->record_key);
-  record->running = query;
+  record->running_query = query;
   record->expires_at = INT64_MAX;
   g_hash_table_insert (query->sched->records, record->key, record);
 }
@@ -105,19 +105,19 @@
   if (query->hops == 0 && !sched_query_has_free_slot (sched))
     {
       peer = sched_query_choose_peer (sched);
-      if (peer != NULL && sched_query_forward_query (query, peer))
+      if (peer != NULL && sched_query_forward (query, peer))
         return;
     }
   if (!sched_may_start (sched))
     {
-      sched_query_refuse_query (query, STATUS_UNAVAILABLE, "not-ready",
-                                "this scheduler takes no work now");
+      sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "not-ready",
+                          "this scheduler takes no work now");
       return;
     }
   if (query->team->queued >= bound)
     {
-      sched_query_refuse_query (query, STATUS_TOO_MANY, "queue-full",
-                                "too many of the team's queries are waiting");
+      sched_query_reject (query, HTTP_STATUS_TOO_MANY, "queue-full",
+                          "too many of the team's queries are waiting");
       return;
     }
   sched_query_enqueue (query, false);
@@ -125,64 +125,64 @@
 }
 
 void
-sched_query_end_unsure (struct query *query, const char *detail)
+sched_query_end_in_doubt (struct query *query, const char *detail)
 {
-  sched_query_end_unknown (query, STATUS_TIMEOUT, "", 0, detail);
+  sched_query_end_unknown (query, HTTP_STATUS_TIMEOUT, "", 0, detail);
 }
 
 /* A request with the caller's id runs only at its home, and only when no
    earlier home can have run it. */
 static void
-place_keyed (struct query *query)
+place_keyed_query (struct query *query)
 {
   switch (sched_record_check (query))
     {
     case RECORD_NEW:
       sched_query_place (query);
       break;
-    case RECORD_ASKED:
-      query->sched->asking = true;
+    case RECORD_AWAITING_REPLIES:
+      query->sched->awaiting_home_replies = true;
       break;
-    case RECORD_UNSURE:
-      sched_query_end_unsure (query, "an earlier home of this id is lost");
+    case RECORD_IN_DOUBT:
+      sched_query_end_in_doubt (query, "an earlier home of this id is lost");
       break;
     case RECORD_ELSEWHERE:
-      sched_query_refuse_query (query, STATUS_UNAVAILABLE, "home-changed",
-                                "another scheduler keeps this id now");
+      sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "home-changed",
+                          "another scheduler keeps this id now");
       break;
     }
 }
 
 void
-sched_query_take (struct rst_scheduler *sched, uint64_t link,
-                  const struct rst_message *message)
+sched_query_handle_query (struct rst_scheduler *sched, uint64_t link,
+                          const struct rst_message *message)
 {
-  const struct rst_query *asked = &message->query;
+  const struct rst_query *request = &message->query;
   char key[3 * RST_NAME_SIZE];
   struct query *query;
 
   sched->counters.queries++;
-  if (strlen (asked->request_id) >= RST_NAME_SIZE
-      || asked->request_id[0] == '\0')
+  if (strlen (request->request_id) >= RST_NAME_SIZE
+      || request->request_id[0] == '\0')
     {
-      sched_query_refuse_message (sched, link, message->id, STATUS_CONFLICT,
-                                  "bad-request-id",
+      sched_query_reject_message (sched, link, message->id,
+                                  HTTP_STATUS_CONFLICT, "bad-request-id",
                                   "request_id: empty or too long");
       return;
     }
-  if (rst_settings_team (sched->settings, asked->team) == NULL)
+  if (rst_settings_team (sched->settings, request->team) == NULL)
     {
-      sched_query_refuse_message (sched, link, message->id, STATUS_UNAVAILABLE,
-                                  "unknown-team",
+      sched_query_reject_message (sched, link, message->id,
+                                  HTTP_STATUS_UNAVAILABLE, "unknown-team",
                                   "team: not in the settings in force");
       return;
     }
   if (is_duplicate (sched, link, message->id))
     return;
-  g_snprintf (key, sizeof key, "%s/%s", asked->team, asked->request_id);
-  if (asked->keyed && answer_repeat (sched, link, message, key))
+  g_snprintf (key, sizeof key, "%s/%s", request->team, request->request_id);
+  if (request->keyed && reply_to_repeat (sched, link, message, key))
     return;
-  rst_budget_earn (&sched->retry_budget);
+  rst_retry_budget_add_request (&sched->retry_budget);
   query = query_create (sched, link, message);
   if (!query->keyed)
     {
@@ -190,12 +190,12 @@
       return;
     }
   add_record (query, key);
-  place_keyed (query);
+  place_keyed_query (query);
 }
 
 /* Queries that wait here while peers have room go there. */
 static void
-spread_queue (struct rst_scheduler *sched, struct query_queue *queue)
+offload_queue (struct rst_scheduler *sched, struct query_queue *queue)
 {
   struct query *query = CK_STAILQ_FIRST (queue);
   struct peer *peer;
@@ -203,8 +203,8 @@
   while (query != NULL && query->hops == 0
          && (peer = sched_query_choose_peer (sched)) != NULL)
     {
-      sched_query_unqueue_head (queue);
-      if (!sched_query_forward_query (query, peer))
+      sched_query_dequeue_head (queue);
+      if (!sched_query_forward (query, peer))
         {
           sched_query_enqueue (query, true);
           return;
@@ -214,7 +214,7 @@
 }
 
 void
-sched_query_spread_all (struct rst_scheduler *sched)
+sched_query_offload_queues (struct rst_scheduler *sched)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -226,14 +226,14 @@
     {
       struct team *team = value;
 
-      spread_queue (sched, &team->urgent);
-      spread_queue (sched, &team->normal);
+      offload_queue (sched, &team->urgent);
+      offload_queue (sched, &team->normal);
     }
 }
 
 /* What cannot be started here goes elsewhere at once. */
 static void
-move_queue (struct rst_scheduler *sched, struct query_queue *queue)
+flush_queue (struct rst_scheduler *sched, struct query_queue *queue)
 {
   struct query *query;
 
@@ -242,15 +242,15 @@
       struct peer *peer
           = query->hops == 0 ? sched_query_choose_peer (sched) : NULL;
 
-      sched_query_unqueue_head (queue);
-      if (peer == NULL || !sched_query_forward_query (query, peer))
-        sched_query_refuse_query (query, STATUS_UNAVAILABLE, "not-ready",
-                                  "this scheduler takes no work now");
+      sched_query_dequeue_head (queue);
+      if (peer == NULL || !sched_query_forward (query, peer))
+        sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "not-ready",
+                            "this scheduler takes no work now");
     }
 }
 
 void
-sched_query_move_all (struct rst_scheduler *sched)
+sched_query_flush_queues (struct rst_scheduler *sched)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -260,7 +260,7 @@
     {
       struct team *team = value;
 
-      move_queue (sched, &team->urgent);
-      move_queue (sched, &team->normal);
+      flush_queue (sched, &team->urgent);
+      flush_queue (sched, &team->normal);
     }
 }
--- a/src/coordination/sched_query_run.c
+++ b/src/coordination/sched_query_run.c
@@ -6,11 +6,11 @@
 #define LOG_PREFIX "query"
 
 /** Most attempts of one query. */
-#define ATTEMPTS_MAX 4
+#define QUERY_ATTEMPTS_MAX 4
 
 /** How long work whose end is unknown occupies its place after its
  * deadline. */
-#define GHOST_MARGIN_MS 1000
+#define IN_DOUBT_MARGIN_MS 1000
 
 /* The runner with the least part of its slots in use. */
 struct instance *
@@ -26,7 +26,7 @@
 
       if (instance->info.kind != RST_RUNNER
           || instance->slots_used >= instance->info.slots
-          || !sched_instance_usable (sched, instance))
+          || !sched_instance_is_usable (sched, instance))
         continue;
       load = instance->slots_used * 1000 / instance->info.slots;
       if (best == NULL || load < best_load)
@@ -63,9 +63,9 @@
       struct query_queue *queue = urgent ? &team->urgent : &team->normal;
       uint64_t rank;
 
-      if (CK_STAILQ_EMPTY (queue) || !sched_limit_allows (team))
+      if (CK_STAILQ_EMPTY (queue) || !sched_limit_allows_start (team))
         continue;
-      rank = (uint64_t)team->used * 1000000 / team_weight (team);
+      rank = (uint64_t)team->run_count * 1000000 / team_weight (team);
       if (best == NULL || rank < best_rank)
         {
           best = queue;
@@ -76,46 +76,48 @@
 }
 
 static void
-give_back (struct work *work)
+release_run (struct run *run)
 {
-  work->calls--;
-  if (work->instance != NULL)
-    sched_work_remove (work);
+  run->pending_calls--;
+  if (run->instance != NULL)
+    sched_run_remove (run);
   else
-    g_free (work);
+    g_free (run);
 }
 
 /* The work may still run: its place stays occupied until it must be over. */
 static void
-keep_ghost (struct work *work, const struct query *query)
+keep_run_in_doubt (struct run *run, const struct query *query)
 {
-  work->calls--;
-  if (work->instance == NULL)
+  run->pending_calls--;
+  if (run->instance == NULL)
     {
-      g_free (work);
+      g_free (run);
       return;
     }
-  work->ghost_until = query->deadline + GHOST_MARGIN_MS;
+  run->in_doubt_until = query->deadline + IN_DOUBT_MARGIN_MS;
 }
 
 static void
-note_result (struct instance *instance, bool ok)
+report_to_breaker (struct instance *instance, bool ok)
 {
   if (instance != NULL)
-    rst_breaker_result (&instance->breaker, ok, sched_now (instance->sched));
+    rst_breaker_record_result (&instance->breaker, ok,
+                               sched_now (instance->sched));
 }
 
 /* Tries a query again that did not run, or that may run twice. */
 static bool
-retry (struct query *query)
+retry_query (struct query *query)
 {
   struct rst_scheduler *sched = query->sched;
 
-  if (query->attempts >= ATTEMPTS_MAX || sched_now (sched) >= query->deadline
-      || sched->stopping || !rst_budget_spend (&sched->retry_budget))
+  if (query->attempts >= QUERY_ATTEMPTS_MAX
+      || sched_now (sched) >= query->deadline || sched->stopping
+      || !rst_retry_budget_take_retry (&sched->retry_budget))
     return false;
   sched->counters.retries++;
-  query->work = NULL;
+  query->run = NULL;
   sched_query_enqueue (query, true);
   return true;
 }
@@ -136,56 +138,56 @@
 }
 
 static void
-run_failed (struct query *query, const struct rst_platform_reply *reply,
-            const char *instance, uint64_t epoch)
+handle_failed_run (struct query *query, const struct rst_platform_reply *reply,
+                   const char *instance, uint64_t epoch)
 {
   bool may_have_run = reply->result == RST_PLATFORM_UNKNOWN
-                      && !RST_FAULT (RST_FAULT_FALSE_REFUSAL);
+                      && !RST_FAULT (RST_FAULT_REPORT_NOT_RUN);
 
   if (may_have_run)
     query->may_have_run = true;
   if ((!may_have_run || query->idempotent
-       || RST_FAULT (RST_FAULT_REQUEST_TWICE))
-      && retry (query))
+       || RST_FAULT (RST_FAULT_RUN_REQUEST_TWICE))
+      && retry_query (query))
     return;
   if (may_have_run)
-    sched_query_end_unknown (query, STATUS_TIMEOUT, instance, epoch,
+    sched_query_end_unknown (query, HTTP_STATUS_TIMEOUT, instance, epoch,
                              "the runner gave no whole answer");
   else
-    sched_query_refuse_query (query, STATUS_UNAVAILABLE, "no-runner",
-                              "no runner took the request");
+    sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "no-runner",
+                        "no runner took the request");
 }
 
 static void
-on_run (const struct rst_platform_reply *reply, void *data)
+on_run_reply (const struct rst_platform_reply *reply, void *data)
 {
   struct query *query = data;
   struct rst_scheduler *sched = query->sched;
-  struct work *work = query->work;
-  struct instance *instance = work->instance;
+  struct run *run = query->run;
+  struct instance *instance = run->instance;
   char name[RST_NAME_SIZE];
   uint64_t epoch = query->epoch;
 
   g_strlcpy (name, query->instance, sizeof name);
   if (reply->result == RST_PLATFORM_OK
       || reply->result == RST_PLATFORM_REFUSED)
-    note_result (instance, true);
+    report_to_breaker (instance, true);
   else
-    note_result (instance, false);
+    report_to_breaker (instance, false);
   if (reply->result == RST_PLATFORM_UNKNOWN)
-    keep_ghost (work, query);
+    keep_run_in_doubt (run, query);
   else
-    give_back (work);
-  query->work = NULL;
+    release_run (run);
+  query->run = NULL;
   if (reply->result == RST_PLATFORM_OK)
     end_answered (query, reply, name, epoch);
   else
-    run_failed (query, reply, name, epoch);
+    handle_failed_run (query, reply, name, epoch);
   sched_query_dispatch (sched);
 }
 
 static void
-log_placed (const struct query *query, const struct instance *instance)
+log_placement (const struct query *query, const struct instance *instance)
 {
   char epoch[24];
 
@@ -208,27 +210,28 @@
   g_snprintf (info.id, sizeof info.id, "%s/%s", query->team->name,
               query->request_id);
   g_strlcpy (info.team, query->team->name, sizeof info.team);
-  query->work = sched_work_add (instance, &info);
-  query->work->calls++;
+  query->run = sched_run_add (instance, &info);
+  query->run->pending_calls++;
   query->attempts++;
   query->epoch = instance->epoch;
   g_strlcpy (query->instance, instance->info.name, RST_NAME_SIZE);
-  rst_breaker_sent (&instance->breaker);
-  log_placed (query, instance);
-  run.id = query->work->info.id;
+  rst_breaker_record_request (&instance->breaker);
+  log_placement (query, instance);
+  run.id = query->run->info.id;
   run.team = query->team->name;
   run.epoch = instance->epoch;
   run.idempotent = query->idempotent;
   run.deadline_ms = query->deadline - now;
-  run.not_after = MIN (query->deadline, rst_tenure_until (sched->tenure, now));
+  run.not_after
+      = MIN (query->deadline, rst_tenure_get_expiry (sched->tenure, now));
   run.body = query->body.data;
   run.length = query->body.length;
   sched->platform->runner_run (sched->platform_data, instance->info.address,
-                               &run, on_run, query);
+                               &run, on_run_reply, query);
 }
 
 static bool
-dispatch_one (struct rst_scheduler *sched)
+dispatch_next (struct rst_scheduler *sched)
 {
   int64_t began_ns = rst_os_now_ns ();
   struct query_queue *queue = choose_queue (sched, true);
@@ -245,10 +248,10 @@
   if (instance == NULL)
     return false;
   query = CK_STAILQ_FIRST (queue);
-  sched_query_unqueue_head (queue);
+  sched_query_dequeue_head (queue);
   if (sched_now (sched) >= query->deadline)
-    sched_query_refuse_query (query, STATUS_UNAVAILABLE, "deadline",
-                              "no slot became free before the deadline");
+    sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "deadline",
+                        "no slot became free before the deadline");
   else
     start_query (query, instance);
   return true;
@@ -260,7 +263,7 @@
   if (sched->dispatching || sched->queued == 0 || !sched_may_start (sched))
     return;
   sched->dispatching = true;
-  while (sched->queued > 0 && dispatch_one (sched))
+  while (sched->queued > 0 && dispatch_next (sched))
     continue;
   sched->dispatching = false;
 }
--- a/src/coordination/sched_record.c
+++ b/src/coordination/sched_record.c
@@ -13,10 +13,10 @@
 #define LOG_PREFIX "record"
 
 /** How long the answers of earlier homes are waited for. */
-#define ASK_MS 500
+#define HOME_REPLY_TIMEOUT_MS 500
 
 /* What this process has seen of a member. */
-struct seen_member
+struct known_member
 {
   rst_ms first_seen;
   rst_ms departed_at;
@@ -25,24 +25,24 @@
 void
 sched_record_init (struct rst_scheduler *sched)
 {
-  sched->history
+  sched->member_history
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  sched->informed
+  sched->informed_peers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
 
 void
 sched_record_clear (struct rst_scheduler *sched)
 {
-  g_hash_table_destroy (sched->history);
-  g_hash_table_destroy (sched->informed);
+  g_hash_table_destroy (sched->member_history);
+  g_hash_table_destroy (sched->informed_peers);
 }
 
 void
-sched_record_new_life (struct rst_scheduler *sched)
+sched_record_begin_incarnation (struct rst_scheduler *sched)
 {
-  if (sched->informed != NULL)
-    g_hash_table_remove_all (sched->informed);
+  if (sched->informed_peers != NULL)
+    g_hash_table_remove_all (sched->informed_peers);
   sched->joined_at = 0;
 }
 
@@ -51,31 +51,33 @@
 window (const struct rst_scheduler *sched)
 {
   return rst_settings_cell (sched->settings)->max_deadline_ms
-         + SCHED_RECORD_MS;
+         + SCHED_RECORD_TTL_MS;
 }
 
-static struct seen_member *
-find_or_add (struct rst_scheduler *sched, const char *incarnation)
+static struct known_member *
+find_or_add_member (struct rst_scheduler *sched, const char *incarnation)
 {
-  struct seen_member *member
-      = g_hash_table_lookup (sched->history, incarnation);
+  struct known_member *member
+      = g_hash_table_lookup (sched->member_history, incarnation);
 
   if (member != NULL)
     return member;
-  member = g_new0 (struct seen_member, 1);
+  member = g_new0 (struct known_member, 1);
   member->first_seen = sched_now (sched);
-  g_hash_table_insert (sched->history, g_strdup (incarnation), member);
+  g_hash_table_insert (sched->member_history, g_strdup (incarnation), member);
   return member;
 }
 
 void
-sched_record_zone (struct rst_scheduler *sched, const struct rst_zone *zone)
+sched_record_apply_zone (struct rst_scheduler *sched,
+                         const struct rst_zone *zone)
 {
   for (int i = 0; i < zone->member_count; i++)
-    find_or_add (sched, zone->members[i].incarnation);
+    find_or_add_member (sched, zone->members[i].incarnation);
   for (int i = 0; i < zone->departed_count; i++)
     {
-      struct seen_member *member = find_or_add (sched, zone->departed[i]);
+      struct known_member *member
+          = find_or_add_member (sched, zone->departed[i]);
 
       if (member->departed_at == 0)
         member->departed_at = sched_now (sched);
@@ -87,22 +89,24 @@
 
 /* A peer that holds the same records knows that this process is a member. */
 void
-sched_record_informed (struct rst_scheduler *sched, const struct peer *peer)
+sched_record_note_informed (struct rst_scheduler *sched,
+                            const struct peer *peer)
 {
   rst_ms *at;
 
   if (sched->joined_at == 0
-      || g_hash_table_contains (sched->informed, peer->incarnation))
+      || g_hash_table_contains (sched->informed_peers, peer->incarnation))
     return;
   at = g_new (rst_ms, 1);
   *at = sched_now (sched);
-  g_hash_table_insert (sched->informed, g_strdup (peer->incarnation), at);
+  g_hash_table_insert (sched->informed_peers, g_strdup (peer->incarnation),
+                       at);
 }
 
 /* ---- Who may have been the home
  * --------------------------------------------- */
 
-struct search
+struct home_search
 {
   struct rst_scheduler *sched;
   const char *key;
@@ -114,56 +118,58 @@
 };
 
 static bool
-is_stable (const struct search *search, const char *incarnation)
+is_stable (const struct home_search *home_search, const char *incarnation)
 {
-  const struct seen_member *member
-      = g_hash_table_lookup (search->sched->history, incarnation);
+  const struct known_member *member
+      = g_hash_table_lookup (home_search->sched->member_history, incarnation);
 
-  return member != NULL && search->now - member->first_seen >= search->window;
+  return member != NULL
+         && home_search->now - member->first_seen >= home_search->window;
 }
 
 static void
-look_at_members (const struct rst_zone *zone, void *userdata)
+score_members (const struct rst_zone *zone, void *userdata)
 {
-  struct search *search = userdata;
+  struct home_search *home_search = userdata;
 
   for (int i = 0; i < zone->member_count; i++)
     {
       const char *incarnation = zone->members[i].incarnation;
-      uint64_t score = rst_rendezvous_score (search->key, incarnation);
+      uint64_t score = rst_rendezvous_score (home_search->key, incarnation);
 
-      if (search->home == NULL || score > search->home_score)
+      if (home_search->home == NULL || score > home_search->home_score)
         {
-          search->home = incarnation;
-          search->home_score = score;
+          home_search->home = incarnation;
+          home_search->home_score = score;
         }
-      if (strcmp (incarnation, search->sched->incarnation) != 0
-          && is_stable (search, incarnation))
-        search->stable_score = MAX (search->stable_score, score);
+      if (strcmp (incarnation, home_search->sched->incarnation) != 0
+          && is_stable (home_search, incarnation))
+        home_search->stable_score = MAX (home_search->stable_score, score);
     }
 }
 
 /* Whether a lost member may have been the home within the window. */
 static bool
-lost_home (const struct search *search)
+may_have_lost_home (const struct home_search *home_search)
 {
-  struct rst_scheduler *sched = search->sched;
-  uint64_t bar = search->stable_score;
+  struct rst_scheduler *sched = home_search->sched;
+  uint64_t min_score = home_search->stable_score;
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
 
   if (sched->joined_at != 0
-      && search->now - sched->joined_at >= search->window)
-    bar = MAX (bar, rst_rendezvous_score (search->key, sched->incarnation));
-  g_hash_table_iter_init (&iterator, sched->history);
+      && home_search->now - sched->joined_at >= home_search->window)
+    min_score = MAX (min_score, rst_rendezvous_score (home_search->key,
+                                                      sched->incarnation));
+  g_hash_table_iter_init (&iterator, sched->member_history);
   while (g_hash_table_iter_next (&iterator, &name, &value))
     {
-      const struct seen_member *member = value;
+      const struct known_member *member = value;
 
       if (member->departed_at != 0
-          && search->now - member->departed_at < search->window
-          && rst_rendezvous_score (search->key, name) > bar)
+          && home_search->now - member->departed_at < home_search->window
+          && rst_rendezvous_score (home_search->key, name) > min_score)
         return true;
     }
   return false;
@@ -172,44 +178,46 @@
 /* Whether a live member may have taken the request as its home, because it
    did not know of this process until a short time ago. */
 static bool
-is_rival (const struct search *search, const char *incarnation)
+may_be_earlier_home (const struct home_search *home_search,
+                     const char *incarnation)
 {
   const rst_ms *informed_at
-      = g_hash_table_lookup (search->sched->informed, incarnation);
+      = g_hash_table_lookup (home_search->sched->informed_peers, incarnation);
 
-  if (strcmp (incarnation, search->sched->incarnation) == 0
-      || rst_rendezvous_score (search->key, incarnation)
-             < search->stable_score)
+  if (strcmp (incarnation, home_search->sched->incarnation) == 0
+      || rst_rendezvous_score (home_search->key, incarnation)
+             < home_search->stable_score)
     return false;
-  return informed_at == NULL || search->now - *informed_at < search->window;
+  return informed_at == NULL
+         || home_search->now - *informed_at < home_search->window;
 }
 
-struct ask
+struct home_inquiry
 {
-  struct search *search;
+  struct home_search *home_search;
   struct query *query;
   bool unreachable;
 };
 
 static void
-ask_rivals (const struct rst_zone *zone, void *userdata)
+ask_earlier_homes (const struct rst_zone *zone, void *userdata)
 {
-  struct ask *ask = userdata;
-  struct rst_scheduler *sched = ask->search->sched;
+  struct home_inquiry *home_inquiry = userdata;
+  struct rst_scheduler *sched = home_inquiry->home_search->sched;
   struct rst_message message = { 0 };
 
   message.type = RST_RECORD_ASK;
-  message.record.key = (char *)ask->search->key;
+  message.record.key = (char *)home_inquiry->home_search->key;
   for (int i = 0; i < zone->member_count; i++)
     {
       const char *incarnation = zone->members[i].incarnation;
 
-      if (!is_rival (ask->search, incarnation))
+      if (!may_be_earlier_home (home_inquiry->home_search, incarnation))
         continue;
       if (sched_send (sched, sched_link_to (sched, incarnation), &message))
-        ask->query->asked++;
+        home_inquiry->query->pending_home_replies++;
       else
-        ask->unreachable = true;
+        home_inquiry->unreachable = true;
     }
 }
 
@@ -218,26 +226,28 @@
 sched_record_check (struct query *query)
 {
   struct rst_scheduler *sched = query->sched;
-  struct search search
+  struct home_search home_search
       = { sched, query->record_key, sched_now (sched), window (sched), NULL, 0,
           0 };
-  struct ask ask = { &search, query, false };
+  struct home_inquiry home_inquiry = { &home_search, query, false };
 
-  rst_settings_records (sched->settings, look_at_members, &search);
-  if (search.home == NULL || strcmp (search.home, sched->incarnation) != 0)
+  rst_settings_records (sched->settings, score_members, &home_search);
+  if (home_search.home == NULL
+      || strcmp (home_search.home, sched->incarnation) != 0)
     return RECORD_ELSEWHERE;
   if (query->idempotent)
     return RECORD_NEW;
-  if (lost_home (&search))
-    return RECORD_UNSURE;
-  rst_settings_records (sched->settings, ask_rivals, &ask);
-  if (ask.unreachable)
+  if (may_have_lost_home (&home_search))
+    return RECORD_IN_DOUBT;
+  rst_settings_records (sched->settings, ask_earlier_homes, &home_inquiry);
+  if (home_inquiry.unreachable)
     {
-      query->asked = 0;
-      return RECORD_UNSURE;
+      query->pending_home_replies = 0;
+      return RECORD_IN_DOUBT;
     }
-  query->ask_until = search.now + ASK_MS;
-  return query->asked > 0 ? RECORD_ASKED : RECORD_NEW;
+  query->home_reply_deadline = home_search.now + HOME_REPLY_TIMEOUT_MS;
+  return query->pending_home_replies > 0 ? RECORD_AWAITING_REPLIES
+                                         : RECORD_NEW;
 }
 
 /* ---- Messages
@@ -245,32 +255,33 @@
 
 /* After "nothing" was said, the request must not run here any more. */
 static void
-give_up_home (struct rst_scheduler *sched, const char *key)
+mark_home_moved (struct rst_scheduler *sched, const char *key)
 {
-  struct record *record = g_new0 (struct record, 1);
+  struct request_record *record = g_new0 (struct request_record, 1);
 
   g_strlcpy (record->key, key, sizeof record->key);
-  record->elsewhere = true;
+  record->home_moved = true;
   record->expires_at = sched_now (sched) + window (sched);
   g_hash_table_insert (sched->records, record->key, record);
 }
 
 void
-sched_record_ask (struct rst_scheduler *sched, uint64_t link,
-                  const struct rst_message *message)
+sched_record_handle_request (struct rst_scheduler *sched, uint64_t link,
+                             const struct rst_message *message)
 {
   const char *key = message->record.key;
-  const struct record *record = g_hash_table_lookup (sched->records, key);
+  const struct request_record *record
+      = g_hash_table_lookup (sched->records, key);
   struct rst_message reply = { 0 };
   const struct rst_answer *answer;
 
   reply.type = RST_RECORD;
   reply.record.key = (char *)key;
   if (record == NULL)
-    give_up_home (sched, key);
-  else if (record->running != NULL)
+    mark_home_moved (sched, key);
+  else if (record->running_query != NULL)
     reply.record.state = RST_RECORD_RUNNING;
-  else if (!record->elsewhere)
+  else if (!record->home_moved)
     {
       answer = &record->answer.answer;
       reply.record.state = RST_RECORD_ENDED;
@@ -286,7 +297,8 @@
 }
 
 static void
-end_as_recorded (struct query *query, const struct rst_record_message *record)
+end_with_recorded_answer (struct query *query,
+                          const struct rst_record_message *record)
 {
   struct rst_answer answer = { 0 };
 
@@ -301,26 +313,26 @@
 }
 
 void
-sched_record_reply (struct rst_scheduler *sched, uint64_t link,
-                    const struct rst_message *message)
+sched_record_handle_reply (struct rst_scheduler *sched, uint64_t link,
+                           const struct rst_message *message)
 {
-  const struct record *record
+  const struct request_record *record
       = g_hash_table_lookup (sched->records, message->record.key);
-  struct query *query = record != NULL ? record->running : NULL;
+  struct query *query = record != NULL ? record->running_query : NULL;
 
   (void)link;
-  if (query == NULL || query->asked == 0)
+  if (query == NULL || query->pending_home_replies == 0)
     return;
   if (message->record.state == RST_RECORD_ENDED)
     {
-      query->asked = 0;
-      end_as_recorded (query, &message->record);
+      query->pending_home_replies = 0;
+      end_with_recorded_answer (query, &message->record);
     }
   else if (message->record.state == RST_RECORD_RUNNING)
     {
-      query->asked = 0;
-      sched_query_end_unsure (query, "it runs at its earlier home");
+      query->pending_home_replies = 0;
+      sched_query_end_in_doubt (query, "it runs at its earlier home");
     }
-  else if (--query->asked == 0)
+  else if (--query->pending_home_replies == 0)
     sched_query_place (query);
 }
--- a/src/coordination/sched_store.c
+++ b/src/coordination/sched_store.c
@@ -15,31 +15,31 @@
 
 /* Operators vouch that these members have stopped. */
 static void
-note_stopped (struct rst_scheduler *sched)
+note_stopped_members (struct rst_scheduler *sched)
 {
   const struct rst_cell *cell = rst_settings_cell (sched->settings);
   char **list = g_strsplit_set (cell->stopped, " ,", -1);
 
   for (int i = 0; list[i] != NULL; i++)
     if (list[i][0] != '\0')
-      sched_member_stopped (sched, list[i]);
+      sched_member_note_stopped (sched, list[i]);
   g_strfreev (list);
 }
 
 static void
-branch_in_force (struct rst_scheduler *sched, const char *key,
-                 uint64_t revision, const char *value)
+handle_applied_branch (struct rst_scheduler *sched, const char *key,
+                       uint64_t revision, const char *value)
 {
   char text[32];
 
   g_snprintf (text, sizeof text, "%" G_GUINT64_FORMAT, revision);
   if (g_str_has_prefix (key, RST_KEY_SETTINGS))
     rst_info ("settings", "Branch is in force.", "key", key, "revision", text);
-  sched_peer_push (sched, key, revision, value);
+  sched_peer_push_branch (sched, key, revision, value);
   if (strcmp (key, RST_KEY_CELL) == 0)
-    note_stopped (sched);
+    note_stopped_members (sched);
   if (g_str_has_prefix (key, RST_KEY_ZONE_RECORDS))
-    sched_record_zone (
+    sched_record_apply_zone (
         sched, rst_settings_record (sched->settings,
                                     key + strlen (RST_KEY_ZONE_RECORDS)));
   if (!g_str_has_prefix (key, RST_KEY_ZONE_RECORDS))
@@ -47,20 +47,20 @@
   else if (strcmp (key + strlen (RST_KEY_ZONE_RECORDS), sched->config.zone)
            == 0)
     {
-      sched_member_zone_changed (sched);
-      sched_instance_zone_changed (sched);
-      sched_job_members_changed (sched);
+      sched_member_apply_zone (sched);
+      sched_instance_apply_zone (sched);
+      sched_job_check_all_worker_owners (sched);
     }
   else
-    sched_job_members_changed (sched);
+    sched_job_check_all_worker_owners (sched);
   sched->load_changed = true;
 }
 
 void
-sched_branch (struct rst_scheduler *sched, const char *key, uint64_t revision,
-              const char *value)
+sched_apply_branch (struct rst_scheduler *sched, const char *key,
+                    uint64_t revision, const char *value)
 {
-  if (RST_FAULT (RST_FAULT_OLD_SETTINGS) && revision % 3 == 0
+  if (RST_FAULT (RST_FAULT_KEEP_OLD_SETTINGS) && revision % 3 == 0
       && g_str_has_prefix (key, RST_KEY_SETTINGS))
     return;
 
@@ -69,7 +69,7 @@
       = rst_settings_apply (sched->settings, key, revision, value, problems);
 
   if (error == RST_STATE_OK)
-    branch_in_force (sched, key, revision, value);
+    handle_applied_branch (sched, key, revision, value);
   else if (error == RST_STATE_INVALID)
     rst_warning ("settings", "Branch was refused.", "key", key, "problem",
                  g_strchomp (problems->str));
@@ -84,9 +84,9 @@
   const char *incarnation = strrchr (kv->key, '/') + 1;
 
   if (kv->deleted)
-    g_hash_table_remove (sched->alive, incarnation);
+    g_hash_table_remove (sched->alive_members, incarnation);
   else
-    g_hash_table_add (sched->alive, g_strdup (incarnation));
+    g_hash_table_add (sched->alive_members, g_strdup (incarnation));
 }
 
 static void
@@ -96,16 +96,16 @@
 
   if (g_str_has_prefix (kv->key, RST_KEY_SETTINGS)
       || g_str_has_prefix (kv->key, RST_KEY_ZONE_RECORDS))
-    sched_branch (sched, kv->key, kv->revision, value);
+    sched_apply_branch (sched, kv->key, kv->revision, value);
   else if (g_str_has_prefix (kv->key, KEY_ALIVE))
     apply_alive (sched, kv);
   else if (g_str_has_prefix (kv->key, KEY_LIMITS))
-    sched_limit_record (sched, kv->key + strlen (KEY_LIMITS), kv->revision,
-                        value);
+    sched_limit_apply_record (sched, kv->key + strlen (KEY_LIMITS),
+                              kv->revision, value);
 }
 
 static void
-on_watch (const struct rst_platform_reply *reply, void *data)
+on_watch_reply (const struct rst_platform_reply *reply, void *data)
 {
   struct watch *watch = data;
   struct rst_scheduler *sched = watch->sched;
@@ -115,7 +115,7 @@
   if (reply->result == RST_PLATFORM_NOT_FOUND)
     watch->listed = false;
   else if (reply->result != RST_PLATFORM_OK)
-    watch->next_at += sched_jitter (sched, SCHED_RETRY_MS);
+    watch->next_at += sched_jitter (sched, SCHED_STORE_RETRY_MS);
   else
     {
       for (int i = 0; i < reply->kv_count; i++)
@@ -125,7 +125,7 @@
 }
 
 static void
-on_list (const struct rst_platform_reply *reply, void *data)
+on_prefix_listed (const struct rst_platform_reply *reply, void *data)
 {
   struct watch *watch = data;
   struct rst_scheduler *sched = watch->sched;
@@ -134,11 +134,11 @@
   watch->next_at = sched_now (sched);
   if (reply->result != RST_PLATFORM_OK)
     {
-      watch->next_at += sched_jitter (sched, SCHED_RETRY_MS);
+      watch->next_at += sched_jitter (sched, SCHED_STORE_RETRY_MS);
       return;
     }
   if (watch == &sched->shared_watch)
-    g_hash_table_remove_all (sched->alive);
+    g_hash_table_remove_all (sched->alive_members);
   for (int i = 0; i < reply->kv_count; i++)
     apply_kv (sched, &reply->kvs[i]);
   watch->after = reply->revision;
@@ -155,12 +155,12 @@
   watch->busy = true;
   sched->counters.store_reads++;
   if (!watch->listed)
-    sched->platform->store_list (sched->platform_data, watch->prefix, on_list,
-                                 watch);
+    sched->platform->store_list (sched->platform_data, watch->prefix,
+                                 on_prefix_listed, watch);
   else
     sched->platform->store_watch (sched->platform_data, watch->prefix,
-                                  watch->after, SCHED_WATCH_MS, on_watch,
-                                  watch);
+                                  watch->after, SCHED_WATCH_TIMEOUT_MS,
+                                  on_watch_reply, watch);
 }
 
 void
@@ -195,7 +195,7 @@
 
 /* Finds out by the writer's number whether a write took effect. */
 static void
-on_record (const struct rst_platform_reply *reply, void *data)
+on_record_read (const struct rst_platform_reply *reply, void *data)
 {
   struct rst_scheduler *sched = data;
   const struct rst_zone *zone;
@@ -203,10 +203,11 @@
 
   if (reply->result == RST_PLATFORM_OK && reply->kv_count == 1)
     {
-      sched_branch (sched, reply->kvs[0].key, reply->kvs[0].revision,
-                    reply->kvs[0].value);
+      sched_apply_branch (sched, reply->kvs[0].key, reply->kvs[0].revision,
+                          reply->kvs[0].value);
       zone = sched_zone (sched);
-      ours = zone != NULL && zone->write == sched->zone_writer.write
+      ours = zone != NULL
+             && zone->write_number == sched->zone_writer.write_number
              && strcmp (zone->writer, sched->incarnation) == 0;
       finish_write (sched, ours);
     }
@@ -214,7 +215,7 @@
     finish_write (sched, false);
   else
     sched->zone_writer.read_at
-        = sched_now (sched) + sched_jitter (sched, SCHED_RETRY_MS);
+        = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
 }
 
 static void
@@ -224,7 +225,8 @@
 
   sched->zone_writer.read_at = 0;
   sched->counters.store_reads++;
-  sched->platform->store_get (sched->platform_data, key, on_record, sched);
+  sched->platform->store_get (sched->platform_data, key, on_record_read,
+                              sched);
   g_free (key);
 }
 
@@ -240,14 +242,15 @@
       return;
     }
   key = zone_key (sched);
-  sched_branch (sched, key, reply->revision, sched->zone_writer.text);
+  sched_apply_branch (sched, key, reply->revision, sched->zone_writer.text);
   g_free (key);
   finish_write (sched, true);
 }
 
 bool
-sched_zone_write (struct rst_scheduler *sched, sched_zone_mutate mutate,
-                  void *data, void (*done) (struct rst_scheduler *, bool))
+sched_zone_update (struct rst_scheduler *sched,
+                   sched_zone_update_function mutate, void *data,
+                   void (*done) (struct rst_scheduler *, bool))
 {
   struct zone_writer *writer = &sched->zone_writer;
   const struct rst_zone *present = sched_zone (sched);
@@ -266,7 +269,7 @@
     }
   writer->busy = true;
   writer->done = done;
-  zone->write = ++writer->write;
+  zone->write_number = ++writer->write_number;
   g_strlcpy (zone->writer, sched->incarnation, RST_NAME_SIZE);
   writer->text = rst_zone_format (zone);
   key = zone_key (sched);
--- a/src/coordination/sched_task.c
+++ b/src/coordination/sched_task.c
@@ -12,16 +12,16 @@
 #define LOG_PREFIX "task"
 
 /** How long the refusal of a start is remembered. */
-#define REFUSAL_KEEP_MS 60000
+#define REJECTION_RETENTION_MS 60000
 
 /** Time between two reports of an end that was not confirmed. */
-#define END_EVERY_MS 1000
+#define END_REPORT_INTERVAL_MS 1000
 
 /** How long an end that nobody confirms is reported. */
-#define END_GIVE_UP_MS 600000
+#define END_REPORT_TIMEOUT_MS 600000
 
 /** Time between two looks at holds, ends and moves. */
-#define TASK_SWEEP_MS 50
+#define TASK_SWEEP_INTERVAL_MS 50
 
 /** Most tasks stopped in one look, so that moves do not come all at once. */
 #define MOVES_PER_SWEEP 16
@@ -30,9 +30,9 @@
 sched_task_init (struct rst_scheduler *sched)
 {
   sched->tasks = g_hash_table_new (g_str_hash, g_str_equal);
-  sched->refusals
+  sched->start_rejections
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  sched->generations
+  sched->job_generations
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
 
@@ -40,31 +40,31 @@
 sched_task_clear (struct rst_scheduler *sched)
 {
   g_hash_table_destroy (sched->tasks);
-  g_hash_table_destroy (sched->generations);
-  g_hash_table_destroy (sched->refusals);
+  g_hash_table_destroy (sched->job_generations);
+  g_hash_table_destroy (sched->start_rejections);
 }
 
 void
-sched_task_added (struct work *work)
+sched_task_index_run (struct run *run)
 {
-  g_hash_table_insert (work->instance->sched->tasks, work->info.id, work);
+  g_hash_table_insert (run->instance->sched->tasks, run->info.id, run);
 }
 
 void
-sched_task_removed (struct work *work)
+sched_task_unindex_run (struct run *run)
 {
   GHashTable *tasks;
 
-  if (work->info.job[0] == '\0' || work->instance == NULL)
+  if (run->info.job[0] == '\0' || run->instance == NULL)
     return;
-  tasks = work->instance->sched->tasks;
-  if (g_hash_table_lookup (tasks, work->info.id) == work)
-    g_hash_table_remove (tasks, work->info.id);
+  tasks = run->instance->sched->tasks;
+  if (g_hash_table_lookup (tasks, run->info.id) == run)
+    g_hash_table_remove (tasks, run->info.id);
 }
 
 void
-sched_task_task_id (char *out, size_t size, const char *job, uint64_t index,
-                    uint64_t attempt)
+sched_task_format_id (char *out, size_t size, const char *job, uint64_t index,
+                      uint64_t attempt)
 {
   g_snprintf (out, size, "%s.%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT, job,
               index, attempt);
@@ -72,110 +72,114 @@
 
 void
 sched_task_fill_event (struct rst_message *message, uint64_t type,
-                       const struct work *work, uint64_t result)
+                       const struct run *run, uint64_t result)
 {
   message->type = type;
-  message->task_event.job = (char *)work->info.job;
-  message->task_event.index = (uint64_t)work->info.index;
-  message->task_event.attempt = (uint64_t)work->info.attempt;
+  message->task_event.job = (char *)run->info.job;
+  message->task_event.index = (uint64_t)run->info.index;
+  message->task_event.attempt = (uint64_t)run->info.attempt;
   message->task_event.result = result;
   message->task_event.instance
-      = work->instance != NULL ? work->instance->info.name : (char *)"";
+      = run->instance != NULL ? run->instance->info.name : (char *)"";
   message->task_event.reason = (char *)"";
 }
 
 void
-sched_task_reply_started (struct work *work, uint64_t result)
+sched_task_reply_start (struct run *run, uint64_t result)
 {
   struct rst_message message = { 0 };
 
-  if (!work->reply_due)
+  if (!run->reply_due)
     return;
-  work->reply_due = false;
-  sched_task_fill_event (&message, RST_TASK_STARTED, work, result);
-  message.id = work->reply_id;
-  sched_send (work->team->sched, work->reply_link, &message);
+  run->reply_due = false;
+  sched_task_fill_event (&message, RST_TASK_STARTED, run, result);
+  message.id = run->reply_id;
+  sched_send (run->team->sched, run->reply_link, &message);
 }
 
 /* The highest attempt of a task that was refused here. */
-struct refusal
+struct rejection
 {
   uint64_t attempt;
   rst_ms expires_at;
 };
 
 static char *
-task_key (const struct rst_task_start *task)
+format_task_key (const struct rst_task_start *task)
 {
   return g_strdup_printf ("%s.%" G_GUINT64_FORMAT, task->job, task->index);
 }
 
 /* A request that arrives a second time must not start what was refused. */
 void
-sched_task_note_refusal (struct rst_scheduler *sched,
-                         const struct rst_task_start *task)
+sched_task_record_rejection (struct rst_scheduler *sched,
+                             const struct rst_task_start *task)
 {
-  char *key = task_key (task);
-  struct refusal *refusal = g_hash_table_lookup (sched->refusals, key);
+  char *key = format_task_key (task);
+  struct rejection *rejection
+      = g_hash_table_lookup (sched->start_rejections, key);
 
-  if (refusal == NULL)
+  if (rejection == NULL)
     {
-      refusal = g_new0 (struct refusal, 1);
-      g_hash_table_insert (sched->refusals, g_strdup (key), refusal);
+      rejection = g_new0 (struct rejection, 1);
+      g_hash_table_insert (sched->start_rejections, g_strdup (key), rejection);
     }
-  refusal->attempt = MAX (refusal->attempt, task->attempt);
-  refusal->expires_at = sched_now (sched) + REFUSAL_KEEP_MS;
+  rejection->attempt = MAX (rejection->attempt, task->attempt);
+  rejection->expires_at = sched_now (sched) + REJECTION_RETENTION_MS;
   g_free (key);
 }
 
 bool
-sched_task_was_refused (struct rst_scheduler *sched,
-                        const struct rst_task_start *task)
+sched_task_was_rejected (struct rst_scheduler *sched,
+                         const struct rst_task_start *task)
 {
-  char *key = task_key (task);
-  const struct refusal *refusal = g_hash_table_lookup (sched->refusals, key);
+  char *key = format_task_key (task);
+  const struct rejection *rejection
+      = g_hash_table_lookup (sched->start_rejections, key);
 
   g_free (key);
-  return refusal != NULL && task->attempt <= refusal->attempt;
+  return rejection != NULL && task->attempt <= rejection->attempt;
 }
 
 static gboolean
-refusal_expired (gpointer key, gpointer value, gpointer userdata)
+rejection_expired (gpointer key, gpointer value, gpointer userdata)
 {
   (void)key;
-  return ((struct refusal *)value)->expires_at <= *(const rst_ms *)userdata;
+  return ((struct rejection *)value)->expires_at <= *(const rst_ms *)userdata;
 }
 
 void
-sched_task_refuse_start (struct rst_scheduler *sched, uint64_t link,
-                         const struct rst_message *asked, const char *reason)
+sched_task_reject_start (struct rst_scheduler *sched, uint64_t link,
+                         const struct rst_message *request, const char *reason)
 {
   struct rst_message message = { 0 };
 
-  sched_task_note_refusal (sched, &asked->task_start);
+  sched_task_record_rejection (sched, &request->task_start);
   if (rst_log_enabled (G_LOG_LEVEL_INFO))
     {
       char id[2 * RST_NAME_SIZE];
 
-      sched_task_task_id (id, sizeof id, asked->task_start.job,
-                          asked->task_start.index, asked->task_start.attempt);
+      sched_task_format_id (id, sizeof id, request->task_start.job,
+                            request->task_start.index,
+                            request->task_start.attempt);
       rst_info (LOG_PREFIX, "Task was refused.", "task", id, "team",
-                asked->task_start.team, "zone", sched->config.zone, "reason",
+                request->task_start.team, "zone", sched->config.zone, "reason",
                 reason);
     }
 
   message.type = RST_TASK_STARTED;
-  message.id = asked->id;
-  message.task_event.job = asked->task_start.job;
-  message.task_event.index = asked->task_start.index;
-  message.task_event.attempt = asked->task_start.attempt;
+  message.id = request->id;
+  message.task_event.job = request->task_start.job;
+  message.task_event.index = request->task_start.index;
+  message.task_event.attempt = request->task_start.attempt;
   message.task_event.result = RST_TASK_NOT_RUN;
   message.task_event.reason = (char *)reason;
   sched_send (sched, link, &message);
 }
 
 static bool
-fits (const struct instance *instance, const struct rst_task_start *task)
+has_capacity_for (const struct instance *instance,
+                  const struct rst_task_start *task)
 {
   const struct rst_instance_info *info = &instance->info;
 
@@ -189,31 +193,33 @@
 }
 
 static int64_t
-part_of (int64_t used, int64_t total)
+permille_of (int64_t used, int64_t total)
 {
   return total > 0 ? used * 1000 / total : 0;
 }
 
 /* How full the fullest resource would be, in thousandths. */
 static int64_t
-fullness (const struct instance *instance, const struct rst_task_start *task)
+usage_after_start (const struct instance *instance,
+                   const struct rst_task_start *task)
 {
   const struct rst_instance_info *info = &instance->info;
-  int64_t cpu = part_of (instance->cpu_used + (int64_t)task->cpu, info->cpu);
-  int64_t memory = part_of (instance->memory_used + (int64_t)task->memory_mb,
-                            info->memory_mb);
+  int64_t cpu
+      = permille_of (instance->cpu_used + (int64_t)task->cpu, info->cpu);
+  int64_t memory = permille_of (
+      instance->memory_used + (int64_t)task->memory_mb, info->memory_mb);
 
   return MAX (cpu, memory);
 }
 
 static int64_t
-tasks_of_job (const struct instance *instance, const char *job)
+count_tasks_of_job (const struct instance *instance, const char *job)
 {
   int64_t count = 0;
-  const struct work *work;
+  const struct run *run;
 
-  CK_LIST_FOREACH (work, &instance->work, entry)
-  if (work->counted && strcmp (work->info.job, job) == 0)
+  CK_LIST_FOREACH (run, &instance->runs, entry)
+  if (run->counted && strcmp (run->info.job, job) == 0)
     count++;
   return count;
 }
@@ -234,9 +240,9 @@
   int64_t rank = accelerator_penalty (instance, task);
 
   if (task->policy == RST_POLICY_SERVICE)
-    return rank + tasks_of_job (instance, task->job) * 10000
-           + fullness (instance, task);
-  return rank - fullness (instance, task);
+    return rank + count_tasks_of_job (instance, task->job) * 10000
+           + usage_after_start (instance, task);
+  return rank - usage_after_start (instance, task);
 }
 
 struct instance *
@@ -252,7 +258,8 @@
       struct instance *instance = g_ptr_array_index (sched->owned, i);
       int64_t rank;
 
-      if (!fits (instance, task) || !sched_instance_usable (sched, instance))
+      if (!has_capacity_for (instance, task)
+          || !sched_instance_is_usable (sched, instance))
         continue;
       rank = rank_worker (instance, task);
       if (best == NULL || rank < best_rank)
@@ -265,72 +272,73 @@
 }
 
 static void
-on_stopped (const struct rst_platform_reply *reply, void *data)
+on_stop_reply (const struct rst_platform_reply *reply, void *data)
 {
-  struct work *work = data;
+  struct run *run = data;
 
-  work->calls--;
-  if (work->instance == NULL)
+  run->pending_calls--;
+  if (run->instance == NULL)
     {
-      g_free (work);
+      g_free (run);
       return;
     }
-  work->stopping = false;
-  if (work->ended)
+  run->stopping = false;
+  if (run->ended)
     return;
   if (reply->result == RST_PLATFORM_OK && reply->work_count == 1)
-    sched_work_end (work, (uint64_t)reply->work[0].result);
+    sched_run_end (run, (uint64_t)reply->work[0].result);
   else if (reply->result == RST_PLATFORM_NOT_FOUND)
-    sched_work_end (work, RST_TASK_LOST);
+    sched_run_end (run, RST_TASK_LOST);
   else
-    work->stop_wanted = true;
+    run->stop_requested = true;
 }
 
 void
-sched_task_stop_work (struct work *work, bool checkpoint)
+sched_task_stop_run (struct run *run, bool checkpoint)
 {
-  struct rst_scheduler *sched = work->team->sched;
+  struct rst_scheduler *sched = run->team->sched;
 
-  if (work->stopping || work->ended || work->starting)
+  if (run->stopping || run->ended || run->starting)
     {
-      work->stop_wanted = !work->ended;
-      work->stop_checkpoint = checkpoint;
+      run->stop_requested = !run->ended;
+      run->stop_with_checkpoint = checkpoint;
       return;
     }
-  work->stop_wanted = false;
-  work->stopping = true;
-  work->stop_checkpoint = checkpoint;
-  work->calls++;
-  sched_task_log_start (work, "Task is being stopped.",
+  run->stop_requested = false;
+  run->stopping = true;
+  run->stop_with_checkpoint = checkpoint;
+  run->pending_calls++;
+  sched_task_log_event (run, "Task is being stopped.",
                         checkpoint ? "checkpoint" : "cancelled");
   sched->platform->task_stop (
-      sched->platform_data, work->instance->info.address,
-      work->instance->epoch, work->info.id, checkpoint, on_stopped, work);
+      sched->platform_data, run->instance->info.address, run->instance->epoch,
+      run->info.id, checkpoint, on_stop_reply, run);
 }
 
 void
-sched_task_stop (struct rst_scheduler *sched, uint64_t link,
-                 const struct rst_message *message)
+sched_task_handle_stop (struct rst_scheduler *sched, uint64_t link,
+                        const struct rst_message *message)
 {
   const struct rst_task_event *event = &message->task_event;
   struct rst_task_start stopped = { 0 };
   struct rst_message reply = { 0 };
   char id[2 * RST_NAME_SIZE];
-  struct work *work;
+  struct run *run;
 
-  sched_task_task_id (id, sizeof id, event->job, event->index, event->attempt);
-  work = g_hash_table_lookup (sched->tasks, id);
-  if (work != NULL && !work->held)
+  sched_task_format_id (id, sizeof id, event->job, event->index,
+                        event->attempt);
+  run = g_hash_table_lookup (sched->tasks, id);
+  if (run != NULL && !run->reserved)
     {
-      sched_task_stop_work (work, event->result == RST_TASK_MOVED);
+      sched_task_stop_run (run, event->result == RST_TASK_MOVED);
       return;
     }
-  if (work != NULL)
-    sched_work_remove (work);
+  if (run != NULL)
+    sched_run_remove (run);
   stopped.job = event->job;
   stopped.index = event->index;
   stopped.attempt = event->attempt;
-  sched_task_note_refusal (sched, &stopped);
+  sched_task_record_rejection (sched, &stopped);
   reply = *message;
   reply.type = RST_TASK_END;
   reply.id = 0;
@@ -340,60 +348,62 @@
 }
 
 void
-sched_task_end_seen (struct rst_scheduler *sched,
-                     const struct rst_message *message)
+sched_task_handle_end_ack (struct rst_scheduler *sched,
+                           const struct rst_message *message)
 {
   const struct rst_task_event *event = &message->task_event;
   char id[2 * RST_NAME_SIZE];
-  struct work *work;
+  struct run *run;
 
-  sched_task_task_id (id, sizeof id, event->job, event->index, event->attempt);
-  work = g_hash_table_lookup (sched->tasks, id);
-  if (work != NULL && work->ended)
-    work->end_seen = true;
+  sched_task_format_id (id, sizeof id, event->job, event->index,
+                        event->attempt);
+  run = g_hash_table_lookup (sched->tasks, id);
+  if (run != NULL && run->ended)
+    run->end_acknowledged = true;
 }
 
 /* The job's owner, or everybody when that one is gone. */
 static void
-report_end (struct rst_scheduler *sched, struct work *work)
+report_end (struct rst_scheduler *sched, struct run *run)
 {
   struct rst_message message = { 0 };
-  uint64_t link = sched_link_to (sched, work->info.owner);
+  uint64_t link = sched_link_to (sched, run->info.owner);
   GHashTableIter iterator;
   gpointer value;
 
-  sched_task_fill_event (&message, RST_TASK_END, work,
-                         (uint64_t)work->info.result);
+  sched_task_fill_event (&message, RST_TASK_END, run,
+                         (uint64_t)run->info.result);
   if (link != 0)
     {
       sched_send (sched, link, &message);
       return;
     }
-  sched_send (sched, SCHED_SELF, &message);
+  sched_send (sched, SCHED_LINK_SELF, &message);
   g_hash_table_iter_init (&iterator, sched->peers);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
       const struct peer *peer = value;
 
-      if (peer->known && peer->role == RST_ROLE_SCHEDULER)
+      if (peer->has_greeted && peer->role == RST_ROLE_SCHEDULER)
         sched_send (sched, peer->link, &message);
     }
 }
 
 static void
-sweep_end (struct rst_scheduler *sched, struct work *work)
+report_end_again (struct rst_scheduler *sched, struct run *run)
 {
   rst_ms now = sched_now (sched);
 
-  if (work->ended_at == 0)
-    work->ended_at = now;
-  if (work->end_seen || now - work->end_sent_at < END_EVERY_MS)
+  if (run->ended_at == 0)
+    run->ended_at = now;
+  if (run->end_acknowledged
+      || now - run->end_reported_at < END_REPORT_INTERVAL_MS)
     return;
-  work->end_sent_at = now;
-  if (now - work->ended_at > END_GIVE_UP_MS)
-    work->end_seen = true;
+  run->end_reported_at = now;
+  if (now - run->ended_at > END_REPORT_TIMEOUT_MS)
+    run->end_acknowledged = true;
   else
-    report_end (sched, work);
+    report_end (sched, run);
 }
 
 /* Whether running work must leave this instance. */
@@ -414,55 +424,55 @@
 {
   rst_ms now = sched_now (sched);
   bool move = must_move (sched, instance);
-  struct work *work = CK_LIST_FIRST (&instance->work);
+  struct run *run = CK_LIST_FIRST (&instance->runs);
 
-  while (work != NULL)
+  while (run != NULL)
     {
-      struct work *next = CK_LIST_NEXT (work, entry);
+      struct run *next = CK_LIST_NEXT (run, entry);
 
-      if (work->info.job[0] == '\0')
+      if (run->info.job[0] == '\0')
         ;
-      else if (work->ended)
-        sweep_end (sched, work);
-      else if (work->held && now >= work->hold_until)
-        sched_work_remove (work);
-      else if (work->held || work->starting || work->stopping)
+      else if (run->ended)
+        report_end_again (sched, run);
+      else if (run->reserved && now >= run->reserved_until)
+        sched_run_remove (run);
+      else if (run->reserved || run->starting || run->stopping)
         ;
-      else if (work->stop_wanted)
-        sched_task_stop_work (work, work->stop_checkpoint);
+      else if (run->stop_requested)
+        sched_task_stop_run (run, run->stop_with_checkpoint);
       else if (move && *moves > 0)
         {
           (*moves)--;
-          sched_task_stop_work (work, true);
+          sched_task_stop_run (run, true);
         }
-      work = next;
+      run = next;
     }
 }
 
-static struct work *
-newest_task (struct rst_scheduler *sched, const struct team *team)
+static struct run *
+find_newest_task (struct rst_scheduler *sched, const struct team *team)
 {
-  struct work *newest = NULL;
+  struct run *newest = NULL;
   GHashTableIter iterator;
   gpointer value;
 
   g_hash_table_iter_init (&iterator, sched->tasks);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
-      struct work *work = value;
+      struct run *run = value;
 
-      if (work->team != team || !work->counted || work->held || work->starting
-          || work->stopping)
+      if (run->team != team || !run->counted || run->reserved || run->starting
+          || run->stopping)
         continue;
-      if (newest == NULL || work->started_at > newest->started_at)
-        newest = work;
+      if (newest == NULL || run->started_at > newest->started_at)
+        newest = run;
     }
   return newest;
 }
 
 /* A lowered limit stops the newest tasks, after a checkpoint. */
 static void
-stop_excess (struct rst_scheduler *sched)
+stop_excess_tasks (struct rst_scheduler *sched)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -472,14 +482,14 @@
     {
       struct team *team = value;
 
-      while (team->excess > 0)
+      while (team->excess_runs > 0)
         {
-          struct work *work = newest_task (sched, team);
+          struct run *run = find_newest_task (sched, team);
 
-          team->excess--;
-          if (work == NULL)
+          team->excess_runs--;
+          if (run == NULL)
             break;
-          sched_task_stop_work (work, true);
+          sched_task_stop_run (run, true);
         }
     }
 }
@@ -492,7 +502,7 @@
 
   if (now < sched->task_sweep_next_at)
     return;
-  sched->task_sweep_next_at = now + TASK_SWEEP_MS;
+  sched->task_sweep_next_at = now + TASK_SWEEP_INTERVAL_MS;
   for (guint i = 0; i < sched->owned->len; i++)
     {
       struct instance *instance = g_ptr_array_index (sched->owned, i);
@@ -500,10 +510,11 @@
       if (instance->info.kind == RST_WORKER)
         sweep_instance (sched, instance, &moves);
     }
-  stop_excess (sched);
-  if (now >= sched->refusal_sweep_next_at)
+  stop_excess_tasks (sched);
+  if (now >= sched->rejection_sweep_next_at)
     {
-      sched->refusal_sweep_next_at = now + REFUSAL_KEEP_MS / 8;
-      g_hash_table_foreach_remove (sched->refusals, refusal_expired, &now);
+      sched->rejection_sweep_next_at = now + REJECTION_RETENTION_MS / 8;
+      g_hash_table_foreach_remove (sched->start_rejections, rejection_expired,
+                                   &now);
     }
 }
--- a/src/coordination/sched_task_find.c
+++ b/src/coordination/sched_task_find.c
@@ -6,25 +6,25 @@
 #define LOG_PREFIX "task"
 
 static void
-note_generation (struct rst_scheduler *sched, const char *job,
-                 uint64_t generation)
+record_generation (struct rst_scheduler *sched, const char *job,
+                   uint64_t generation)
 {
-  uint64_t *known = g_hash_table_lookup (sched->generations, job);
+  uint64_t *known = g_hash_table_lookup (sched->job_generations, job);
 
   if (known == NULL)
     {
       known = g_new0 (uint64_t, 1);
-      g_hash_table_insert (sched->generations, g_strdup (job), known);
+      g_hash_table_insert (sched->job_generations, g_strdup (job), known);
     }
   *known = MAX (*known, generation);
 }
 
 static bool
-all_adopted (const struct rst_scheduler *sched)
+all_workers_adopted (const struct rst_scheduler *sched)
 {
   const struct rst_zone *zone = sched_zone (sched);
 
-  if (zone == NULL || !sched->list_known)
+  if (zone == NULL || !sched->list_received)
     return false;
   for (int i = 0; i < zone->owned_count; i++)
     if (zone->owned[i].owner[0] == '\0')
@@ -41,7 +41,7 @@
 }
 
 static bool
-is_starting (struct rst_scheduler *sched, const char *job)
+has_pending_start (struct rst_scheduler *sched, const char *job)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -49,35 +49,35 @@
   g_hash_table_iter_init (&iterator, sched->tasks);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
-      const struct work *work = value;
+      const struct run *run = value;
 
-      if (work->starting && strcmp (work->info.job, job) == 0)
+      if (run->starting && strcmp (run->info.job, job) == 0)
         return true;
     }
   return false;
 }
 
 void
-sched_task_find (struct rst_scheduler *sched, uint64_t link,
-                 const struct rst_message *message)
+sched_task_handle_find (struct rst_scheduler *sched, uint64_t link,
+                        const struct rst_message *message)
 {
   const char *job = message->task_event.job;
   struct rst_message reply = { 0 };
   GHashTableIter iterator;
   gpointer value;
 
-  note_generation (sched, job, message->task_event.attempt);
+  record_generation (sched, job, message->task_event.attempt);
   g_hash_table_iter_init (&iterator, sched->tasks);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
-      struct work *work = value;
+      struct run *run = value;
 
-      if (strcmp (work->info.job, job) != 0 || work->held)
+      if (strcmp (run->info.job, job) != 0 || run->reserved)
         continue;
-      sched_task_fill_event (&reply, RST_TASK_FOUND, work,
-                             work->ended ? (uint64_t)work->info.result
-                                         : RST_TASK_RUNNING);
-      work->end_seen = false;
+      sched_task_fill_event (&reply, RST_TASK_FOUND, run,
+                             run->ended ? (uint64_t)run->info.result
+                                        : RST_TASK_RUNNING);
+      run->end_acknowledged = false;
       sched_send (sched, link, &reply);
     }
   /* The last message says whether all was known. */
@@ -88,8 +88,9 @@
   reply.task_event.index = UINT64_MAX;
   reply.task_event.attempt
       = sched_zone (sched) != NULL ? sched_zone (sched)->revision : 0;
-  reply.task_event.result = all_adopted (sched) && !is_starting (sched, job)
-                                ? RST_TASK_DONE
-                                : RST_TASK_RUNNING;
+  reply.task_event.result
+      = all_workers_adopted (sched) && !has_pending_start (sched, job)
+            ? RST_TASK_DONE
+            : RST_TASK_RUNNING;
   sched_send (sched, link, &reply);
 }
--- a/src/coordination/scheduler.c
+++ b/src/coordination/scheduler.c
@@ -53,7 +53,7 @@
 };
 
 static void
-search_member (const struct rst_zone *zone, void *userdata)
+match_member (const struct rst_zone *zone, void *userdata)
 {
   struct member_search *search = userdata;
 
@@ -66,7 +66,7 @@
 {
   struct member_search search = { incarnation, false };
 
-  rst_settings_records (sched->settings, search_member, &search);
+  rst_settings_records (sched->settings, match_member, &search);
   return search.found;
 }
 
@@ -81,13 +81,14 @@
 sched_may_start (const struct rst_scheduler *sched)
 {
   return !sched->stopping
-         && (RST_FAULT (RST_FAULT_ZONE_OUT)
+         && (RST_FAULT (RST_FAULT_START_IN_REMOVED_ZONE)
              || !rst_settings_zone_out (sched->settings, sched->config.zone))
-         && rst_tenure_held (sched->tenure, sched_now (sched));
+         && rst_tenure_is_held (sched->tenure, sched_now (sched));
 }
 
 static void
-post_local (struct rst_scheduler *sched, const struct rst_message *message)
+post_local_message (struct rst_scheduler *sched,
+                    const struct rst_message *message)
 {
   struct local_message *local = g_new0 (struct local_message, 1);
 
@@ -99,9 +100,9 @@
 sched_send (struct rst_scheduler *sched, uint64_t link,
             const struct rst_message *message)
 {
-  if (link == SCHED_SELF)
+  if (link == SCHED_LINK_SELF)
     {
-      post_local (sched, message);
+      post_local_message (sched, message);
       return true;
     }
   if (link == 0)
@@ -116,7 +117,7 @@
   const struct peer *peer;
 
   if (strcmp (incarnation, sched->incarnation) == 0)
-    return SCHED_SELF;
+    return SCHED_LINK_SELF;
   peer = sched_peer_by_incarnation (sched, incarnation);
   return peer != NULL ? peer->link : 0;
 }
@@ -124,7 +125,7 @@
 struct rst_scheduler *
 rst_scheduler_create (const struct rst_scheduler_config *config,
                       const struct rst_platform *platform, void *platform_data,
-                      const struct rst_links *links, void *links_data)
+                      const struct rst_link_ops *links, void *links_data)
 {
   struct rst_scheduler *sched = g_new0 (struct rst_scheduler, 1);
 
@@ -137,7 +138,8 @@
       = g_rand_new_with_seed_array ((const guint32 *)&config->seed, 2);
   sched->settings = rst_settings_create ();
   sched->seeds = g_ptr_array_new_with_free_func (g_free);
-  sched->alive = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  sched->alive_members
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   sched->peers
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   sched->teams
@@ -160,7 +162,7 @@
 }
 
 static void
-clear_local (struct rst_scheduler *sched)
+clear_local_messages (struct rst_scheduler *sched)
 {
   struct local_message *local;
 
@@ -179,7 +181,7 @@
     return;
   sched_job_clear (sched);
   sched_query_clear (sched);
-  clear_local (sched);
+  clear_local_messages (sched);
   g_hash_table_destroy (sched->instances);
   sched_task_clear (sched);
   sched_record_clear (sched);
@@ -187,7 +189,7 @@
   sched_member_clear (sched);
   g_ptr_array_free (sched->owned, TRUE);
   g_hash_table_destroy (sched->peers);
-  g_hash_table_destroy (sched->alive);
+  g_hash_table_destroy (sched->alive_members);
   g_ptr_array_free (sched->seeds, TRUE);
   rst_settings_destroy (sched->settings);
   g_free (sched->zone_writer.text);
@@ -196,7 +198,8 @@
 }
 
 void
-rst_scheduler_add_seed (struct rst_scheduler *sched, const char *address)
+rst_scheduler_add_seed_address (struct rst_scheduler *sched,
+                                const char *address)
 {
   g_ptr_array_add (sched->seeds, g_strdup (address));
 }
@@ -208,26 +211,26 @@
   switch (message->type)
     {
     case RST_HELLO:
-      sched_peer_hello (sched, peer, message);
+      sched_peer_handle_hello (sched, peer, message);
       break;
     case RST_PROMISE_ASK:
-      sched_member_promise_asked (sched, peer, message);
+      sched_member_handle_promise_request (sched, peer, message);
       break;
     case RST_PROMISE:
-      sched_member_promise (sched, peer, message);
+      sched_member_handle_promise (sched, peer, message);
       break;
     case RST_DIGEST:
-      sched_peer_digest (sched, peer, message);
+      sched_peer_handle_digest (sched, peer, message);
       break;
     case RST_BRANCH:
-      sched_branch (sched, message->branch.key, message->branch.revision,
-                    message->branch.value.data);
+      sched_apply_branch (sched, message->branch.key, message->branch.revision,
+                          message->branch.value.data);
       break;
     case RST_LOAD:
-      sched_peer_load (sched, peer, message);
+      sched_peer_handle_load (sched, peer, message);
       break;
     case RST_ADOPTED:
-      sched_limit_adopted (sched, peer, message);
+      sched_limit_handle_adopted (sched, peer, message);
       break;
     default:
       break;
@@ -235,45 +238,45 @@
 }
 
 static void
-dispatch_work_message (struct rst_scheduler *sched, uint64_t link,
-                       const struct rst_message *message)
+dispatch_request_message (struct rst_scheduler *sched, uint64_t link,
+                          const struct rst_message *message)
 {
   switch (message->type)
     {
     case RST_QUERY:
-      sched_query_take (sched, link, message);
+      sched_query_handle_query (sched, link, message);
       break;
     case RST_ANSWER:
-      sched_query_answer (sched, link, message);
+      sched_query_handle_answer (sched, link, message);
       break;
     case RST_RECORD_ASK:
-      sched_record_ask (sched, link, message);
+      sched_record_handle_request (sched, link, message);
       break;
     case RST_RECORD:
-      sched_record_reply (sched, link, message);
+      sched_record_handle_reply (sched, link, message);
       break;
     case RST_JOB_CALL:
-      sched_job_call (sched, link, message);
+      sched_job_handle_call (sched, link, message);
       break;
     case RST_JOB_REPLY:
-      sched_job_reply (sched, link, message);
+      sched_job_handle_reply (sched, link, message);
       break;
     case RST_TASK_START:
-      sched_task_start (sched, link, message);
+      sched_task_handle_start (sched, link, message);
       break;
     case RST_TASK_STOP:
-      sched_task_stop (sched, link, message);
+      sched_task_handle_stop (sched, link, message);
       break;
     case RST_TASK_END_SEEN:
-      sched_task_end_seen (sched, message);
+      sched_task_handle_end_ack (sched, message);
       break;
     case RST_TASK_FIND:
-      sched_task_find (sched, link, message);
+      sched_task_handle_find (sched, link, message);
       break;
     case RST_TASK_STARTED:
     case RST_TASK_END:
     case RST_TASK_FOUND:
-      sched_job_task_event (sched, link, message);
+      sched_job_handle_task_event (sched, link, message);
       break;
     default:
       break;
@@ -282,22 +285,22 @@
 
 /* Handles messages to itself; they may post more. */
 static void
-run_local (struct rst_scheduler *sched)
+dispatch_local_messages (struct rst_scheduler *sched)
 {
   struct local_message *local;
 
   while ((local = CK_STAILQ_FIRST (&sched->local)) != NULL)
     {
       CK_STAILQ_REMOVE_HEAD (&sched->local, entry);
-      dispatch_work_message (sched, SCHED_SELF, &local->message);
+      dispatch_request_message (sched, SCHED_LINK_SELF, &local->message);
       rst_message_clear (&local->message);
       g_free (local);
     }
 }
 
 void
-rst_scheduler_message (struct rst_scheduler *sched, uint64_t link,
-                       const struct rst_message *message)
+rst_scheduler_handle_message (struct rst_scheduler *sched, uint64_t link,
+                              const struct rst_message *message)
 {
   struct peer *peer = sched_peer_by_link (sched, link);
 
@@ -305,24 +308,24 @@
     return;
   sched->counters.messages_in++;
   dispatch_peer_message (sched, peer, message);
-  if (peer->known)
-    dispatch_work_message (sched, link, message);
-  run_local (sched);
+  if (peer->has_greeted)
+    dispatch_request_message (sched, link, message);
+  dispatch_local_messages (sched);
 }
 
 static void
-tick_stop (struct rst_scheduler *sched)
+update_stop (struct rst_scheduler *sched)
 {
   rst_ms now = sched_now (sched);
-  bool busy = sched_query_busy (sched);
+  bool busy = sched_query_is_busy (sched);
 
-  if (now - sched->stop_at > SCHED_DRAIN_MS)
+  if (now - sched->stop_began_at > SCHED_DRAIN_TIMEOUT_MS)
     busy = false;
-  if (RST_FAULT (RST_FAULT_NEVER_STOPS))
+  if (RST_FAULT (RST_FAULT_NEVER_STOP))
     return;
-  if (now - sched->stop_at > SCHED_STOP_MS)
+  if (now - sched->stop_began_at > SCHED_STOP_TIMEOUT_MS)
     sched->stopped = true;
-  if (!busy && sched->stop_given && !sched->zone_writer.busy)
+  if (!busy && sched->handover_done && !sched->zone_writer.busy)
     sched->stopped = true;
 }
 
@@ -337,13 +340,13 @@
   sched_query_tick (sched);
   sched_task_tick (sched);
   sched_job_tick (sched);
-  run_local (sched);
+  dispatch_local_messages (sched);
   if (sched->stopping)
-    tick_stop (sched);
+    update_stop (sched);
 }
 
 void
-rst_scheduler_link_opened (struct rst_scheduler *sched, uint64_t link)
+rst_scheduler_handle_link_opened (struct rst_scheduler *sched, uint64_t link)
 {
   struct peer *peer = sched_peer_by_link (sched, link);
 
@@ -354,60 +357,60 @@
       g_hash_table_insert (sched->peers, &peer->link, peer);
     }
   peer->open = true;
-  sched_peer_say_hello (sched, link);
+  sched_peer_send_hello (sched, link);
 }
 
 void
-rst_scheduler_link_closed (struct rst_scheduler *sched, uint64_t link)
+rst_scheduler_handle_link_closed (struct rst_scheduler *sched, uint64_t link)
 {
   struct peer *peer = sched_peer_by_link (sched, link);
 
   if (peer != NULL)
     {
-      sched_query_link_closed (sched, link);
+      sched_query_handle_link_closed (sched, link);
       g_hash_table_remove (sched->peers, &link);
     }
-  run_local (sched);
+  dispatch_local_messages (sched);
 }
 
 void
-rst_scheduler_stop (struct rst_scheduler *sched)
+rst_scheduler_begin_stop (struct rst_scheduler *sched)
 {
   if (sched->stopping)
     return;
   rst_info (LOG_PREFIX, "Planned stop begins.");
   sched->stopping = true;
-  sched->stop_at = sched_now (sched);
+  sched->stop_began_at = sched_now (sched);
   sched->load_changed = true;
 }
 
 bool
-rst_scheduler_stopped (const struct rst_scheduler *sched)
+rst_scheduler_is_stopped (const struct rst_scheduler *sched)
 {
   return sched->stopped;
 }
 
 bool
-rst_scheduler_ready (const struct rst_scheduler *sched)
+rst_scheduler_is_ready (const struct rst_scheduler *sched)
 {
   return !sched->stopping && rst_settings_newest (sched->settings) > 0
-         && rst_tenure_held (sched->tenure, sched_now (sched));
+         && rst_tenure_is_held (sched->tenure, sched_now (sched));
 }
 
 const struct rst_scheduler_counters *
-rst_scheduler_counters (const struct rst_scheduler *sched)
+rst_scheduler_get_counters (const struct rst_scheduler *sched)
 {
   return &sched->counters;
 }
 
 const char *
-rst_scheduler_incarnation (const struct rst_scheduler *sched)
+rst_scheduler_get_incarnation (const struct rst_scheduler *sched)
 {
   return sched->incarnation;
 }
 
 const struct rst_settings *
-rst_scheduler_settings (const struct rst_scheduler *sched)
+rst_scheduler_get_settings (const struct rst_scheduler *sched)
 {
   return sched->settings;
 }
@@ -421,8 +424,8 @@
 };
 
 static void
-add_branch_status (const char *key, uint64_t revision, const char *value,
-                   void *userdata)
+append_branch_status (const char *key, uint64_t revision, const char *value,
+                      void *userdata)
 {
   struct branch_status *status = userdata;
   struct json_object *item = json_object_new_object ();
@@ -442,7 +445,7 @@
 }
 
 static struct json_object *
-entries_status (struct rst_scheduler *sched)
+format_entries (struct rst_scheduler *sched)
 {
   struct json_object *list = json_object_new_array ();
   uint64_t hash = rst_settings_hash (sched->settings);
@@ -455,12 +458,13 @@
       const struct peer *peer = value;
       struct json_object *item;
 
-      if (!peer->known || peer->role != RST_ROLE_ENTRY)
+      if (!peer->has_greeted || peer->role != RST_ROLE_ENTRY)
         continue;
       item = json_object_new_object ();
       rst_json_set_text (item, "name", peer->name);
       rst_json_set_text (item, "address", peer->status_address);
-      rst_json_set_number (item, "newest", (int64_t)peer->digest_newest);
+      rst_json_set_number (item, "newest",
+                           (int64_t)peer->digest_newest_revision);
       rst_json_set_bool (item, "same_settings", peer->digest_hash == hash);
       json_object_array_add (list, item);
     }
@@ -468,7 +472,7 @@
 }
 
 static struct json_object *
-instances_status (struct rst_scheduler *sched)
+format_instances (struct rst_scheduler *sched)
 {
   struct json_object *list = json_object_new_array ();
 
@@ -493,7 +497,7 @@
 }
 
 static struct json_object *
-teams_status (struct rst_scheduler *sched)
+format_teams (struct rst_scheduler *sched)
 {
   struct json_object *list = json_object_new_array ();
   GHashTableIter iterator;
@@ -507,9 +511,9 @@
 
       rst_json_set_text (item, "name", team->name);
       rst_json_set_number (item, "part", team->granted);
-      rst_json_set_number (item, "running", team->used);
+      rst_json_set_number (item, "running", team->run_count);
       rst_json_set_number (item, "waiting", team->queued);
-      rst_json_set_number (item, "handed_over", team->away);
+      rst_json_set_number (item, "handed_over", team->handed_over);
       rst_json_set_bool (item, "limit_write_pending", team->busy);
       json_object_array_add (list, item);
     }
@@ -517,28 +521,28 @@
 }
 
 char *
-rst_scheduler_status (struct rst_scheduler *sched)
+rst_scheduler_format_status (struct rst_scheduler *sched)
 {
   struct json_object *root = json_object_new_object ();
   struct branch_status branches = { sched, json_object_new_array () };
   rst_ms now = sched_now (sched);
-  const char *lacking = rst_tenure_lacking (sched->tenure, now);
+  const char *missing = rst_tenure_find_missing_promise (sched->tenure, now);
 
   rst_json_set_text (root, "name", sched->config.name);
   rst_json_set_text (root, "availability_zone", sched->config.zone);
   rst_json_set_text (root, "incarnation", sched->incarnation);
-  rst_json_set_bool (root, "ready", rst_scheduler_ready (sched));
+  rst_json_set_bool (root, "ready", rst_scheduler_is_ready (sched));
   rst_json_set_bool (root, "tenure_held",
-                     rst_tenure_held (sched->tenure, now));
-  if (lacking != NULL)
-    rst_json_set_text (root, "promise_missing_from", lacking);
+                     rst_tenure_is_held (sched->tenure, now));
+  if (missing != NULL)
+    rst_json_set_text (root, "promise_missing_from", missing);
   rst_json_set_number (root, "newest",
                        (int64_t)rst_settings_newest (sched->settings));
-  rst_settings_visit (sched->settings, add_branch_status, &branches);
+  rst_settings_visit (sched->settings, append_branch_status, &branches);
   json_object_object_add (root, "branches", branches.list);
-  json_object_object_add (root, "entries", entries_status (sched));
-  json_object_object_add (root, "instances", instances_status (sched));
-  json_object_object_add (root, "teams", teams_status (sched));
-  sched_job_status (sched, root);
+  json_object_object_add (root, "entries", format_entries (sched));
+  json_object_object_add (root, "instances", format_instances (sched));
+  json_object_object_add (root, "teams", format_teams (sched));
+  sched_job_add_status (sched, root);
   return rst_json_release (root);
 }
--- a/src/coordination/scheduler.h
+++ b/src/coordination/scheduler.h
@@ -45,7 +45,7 @@
  * @status_address: Address of its status pages.
  * @tenure: Durations of its tenure.
  * @task_lease_ms: Lease under which tasks run.
- * @list_ms: Time between two reads of the list of instances.
+ * @list_interval_ms: Time between two reads of the list of instances.
  * @clock: Source of time.
  * @seed: Seed of its random numbers; also makes its incarnations unique.
  */
@@ -57,20 +57,20 @@
   char status_address[RST_ADDRESS_SIZE];
   struct rst_tenure_config tenure;
   rst_ms task_lease_ms;
-  rst_ms list_ms;
+  rst_ms list_interval_ms;
   struct rst_clock clock;
   uint64_t seed;
 };
 
 /**
- * struct rst_links - How a process reaches its peers.
+ * struct rst_link_ops - How a process reaches its peers.
  * @connect: Opens a link; its outcome is told later.  Returns 0 on failure.
  * @send: Sends a message on a link; false when it was not sent.
  * @close: Closes a link.
  *
  * Each takes the userdata given beside the table.
  */
-struct rst_links
+struct rst_link_ops
 {
   uint64_t (*connect) (void *userdata, const char *address);
   bool (*send) (void *userdata, uint64_t link,
@@ -128,7 +128,7 @@
 struct rst_scheduler *
 rst_scheduler_create (const struct rst_scheduler_config *config,
                       const struct rst_platform *platform, void *platform_data,
-                      const struct rst_links *links, void *links_data);
+                      const struct rst_link_ops *links, void *links_data);
 
 /**
  * rst_scheduler_destroy() - Frees a scheduler.
@@ -136,52 +136,56 @@
  */
 void rst_scheduler_destroy (struct rst_scheduler *scheduler);
 
-/** rst_scheduler_add_seed() - Names an address where a peer may be. */
-void rst_scheduler_add_seed (struct rst_scheduler *scheduler,
-                             const char *address);
+/** rst_scheduler_add_seed_address() - Names an address where a peer may be. */
+void rst_scheduler_add_seed_address (struct rst_scheduler *scheduler,
+                                     const char *address);
 
 /**
  * rst_scheduler_tick() - Does what is due; call it every few milliseconds.
  */
 void rst_scheduler_tick (struct rst_scheduler *scheduler);
 
-/** rst_scheduler_link_opened() - A link can carry messages. */
-void rst_scheduler_link_opened (struct rst_scheduler *scheduler,
-                                uint64_t link);
+/** rst_scheduler_handle_link_opened() - A link can carry messages. */
+void rst_scheduler_handle_link_opened (struct rst_scheduler *scheduler,
+                                       uint64_t link);
 
-/** rst_scheduler_link_closed() - A link is gone, or could not be opened. */
-void rst_scheduler_link_closed (struct rst_scheduler *scheduler,
-                                uint64_t link);
+/** rst_scheduler_handle_link_closed() - A link is gone, or could not be
+ * opened. */
+void rst_scheduler_handle_link_closed (struct rst_scheduler *scheduler,
+                                       uint64_t link);
 
-/** rst_scheduler_message() - A message arrived; it stays the caller's. */
-void rst_scheduler_message (struct rst_scheduler *scheduler, uint64_t link,
-                            const struct rst_message *message);
+/** rst_scheduler_handle_message() - A message arrived; it stays the caller's.
+ */
+void rst_scheduler_handle_message (struct rst_scheduler *scheduler,
+                                   uint64_t link,
+                                   const struct rst_message *message);
 
-/** rst_scheduler_stop() - Begins a planned stop. */
-void rst_scheduler_stop (struct rst_scheduler *scheduler);
+/** rst_scheduler_begin_stop() - Begins a planned stop. */
+void rst_scheduler_begin_stop (struct rst_scheduler *scheduler);
 
-/** rst_scheduler_stopped() - Whether a planned stop is complete. */
-bool rst_scheduler_stopped (const struct rst_scheduler *scheduler);
+/** rst_scheduler_is_stopped() - Whether a planned stop is complete. */
+bool rst_scheduler_is_stopped (const struct rst_scheduler *scheduler);
 
-/** rst_scheduler_ready() - Whether it takes work. */
-bool rst_scheduler_ready (const struct rst_scheduler *scheduler);
+/** rst_scheduler_is_ready() - Whether it takes work. */
+bool rst_scheduler_is_ready (const struct rst_scheduler *scheduler);
 
-/** rst_scheduler_counters() - What it has counted. */
+/** rst_scheduler_get_counters() - What it has counted. */
 const struct rst_scheduler_counters *
-rst_scheduler_counters (const struct rst_scheduler *scheduler);
+rst_scheduler_get_counters (const struct rst_scheduler *scheduler);
 
 /**
- * rst_scheduler_status() - Describes its state as JSON.
+ * rst_scheduler_format_status() - Describes its state as JSON.
  *
  * Return: The text, to be freed with free().
  */
-char *rst_scheduler_status (struct rst_scheduler *scheduler);
+char *rst_scheduler_format_status (struct rst_scheduler *scheduler);
 
-/** rst_scheduler_incarnation() - Its present incarnation. */
-const char *rst_scheduler_incarnation (const struct rst_scheduler *scheduler);
+/** rst_scheduler_get_incarnation() - Its present incarnation. */
+const char *
+rst_scheduler_get_incarnation (const struct rst_scheduler *scheduler);
 
-/** rst_scheduler_settings() - The settings that it has in force. */
+/** rst_scheduler_get_settings() - The settings that it has in force. */
 const struct rst_settings *
-rst_scheduler_settings (const struct rst_scheduler *scheduler);
+rst_scheduler_get_settings (const struct rst_scheduler *scheduler);
 
 #endif
--- a/src/coordination/tenure.c
+++ b/src/coordination/tenure.c
@@ -17,9 +17,9 @@
 /* What is known of a peer. */
 struct promise
 {
-  char giver[RST_NAME_SIZE];
+  char member[RST_NAME_SIZE];
   rst_ms until;
-  rst_ms cannot_end_before;
+  rst_ms cannot_fence_before;
   bool stopped;
   CK_LIST_ENTRY (promise) entry;
 };
@@ -73,13 +73,13 @@
 }
 
 void
-rst_tenure_renewed (struct rst_tenure *tenure, rst_ms sent_at)
+rst_tenure_record_renewal (struct rst_tenure *tenure, rst_ms sent_at)
 {
-  rst_lease_renewed (&tenure->lease, sent_at);
+  rst_lease_record_renewal (&tenure->lease, sent_at);
 }
 
 void
-rst_tenure_lease_lost (struct rst_tenure *tenure)
+rst_tenure_drop_lease (struct rst_tenure *tenure)
 {
   rst_lease_drop (&tenure->lease);
 }
@@ -91,7 +91,8 @@
 }
 
 void
-rst_tenure_declare (struct rst_tenure *tenure, const struct rst_zone *view)
+rst_tenure_declare_view (struct rst_tenure *tenure,
+                         const struct rst_zone *view)
 {
   for (int i = 0; i < view->member_count; i++)
     {
@@ -114,7 +115,7 @@
 }
 
 void
-rst_tenure_declared (struct rst_tenure *tenure, uint64_t revision)
+rst_tenure_confirm_view (struct rst_tenure *tenure, uint64_t revision)
 {
   struct required *required = CK_LIST_FIRST (&tenure->required);
 
@@ -133,21 +134,21 @@
 }
 
 static struct promise *
-find_promise (const struct rst_tenure *tenure, const char *giver)
+find_promise (const struct rst_tenure *tenure, const char *member)
 {
   struct promise *promise;
 
   CK_LIST_FOREACH (promise, &tenure->promises, entry)
-  if (strcmp (promise->giver, giver) == 0)
+  if (strcmp (promise->member, member) == 0)
     return promise;
   return NULL;
 }
 
 void
-rst_tenure_promised (struct rst_tenure *tenure, const char *giver,
-                     rst_ms asked_at, rst_ms duration_ms)
+rst_tenure_record_promise (struct rst_tenure *tenure, const char *member,
+                           rst_ms asked_at, rst_ms duration_ms)
 {
-  struct promise *promise = find_promise (tenure, giver);
+  struct promise *promise = find_promise (tenure, member);
   rst_ms until = asked_at + duration_ms - tenure->config.margin_ms;
   rst_ms quiet_until
       = asked_at + tenure->config.quiet_ms - tenure->config.margin_ms;
@@ -159,28 +160,29 @@
       promise = calloc (1, sizeof *promise);
       if (promise == NULL)
         return;
-      g_strlcpy (promise->giver, giver, RST_NAME_SIZE);
+      g_strlcpy (promise->member, member, RST_NAME_SIZE);
       CK_LIST_INSERT_HEAD (&tenure->promises, promise, entry);
     }
   if (until > promise->until)
     promise->until = until;
-  if (quiet_until > promise->cannot_end_before)
-    promise->cannot_end_before = quiet_until;
+  if (quiet_until > promise->cannot_fence_before)
+    promise->cannot_fence_before = quiet_until;
 }
 
 void
-rst_tenure_stopped (struct rst_tenure *tenure, const char *member, rst_ms now)
+rst_tenure_record_member_stop (struct rst_tenure *tenure, const char *member,
+                               rst_ms now)
 {
   struct promise *promise = find_promise (tenure, member);
 
   /* Had it sent the write that ends this tenure before it stopped, the write
      could still arrive; that is ruled out only within the quiet time. */
-  if (promise != NULL && now < promise->cannot_end_before)
+  if (promise != NULL && now < promise->cannot_fence_before)
     promise->stopped = true;
 }
 
 static rst_ms
-promised_until (const struct rst_tenure *tenure, const char *incarnation)
+get_promise_expiry (const struct rst_tenure *tenure, const char *incarnation)
 {
   const struct promise *promise = find_promise (tenure, incarnation);
 
@@ -190,18 +192,18 @@
 }
 
 const char *
-rst_tenure_lacking (const struct rst_tenure *tenure, rst_ms now)
+rst_tenure_find_missing_promise (const struct rst_tenure *tenure, rst_ms now)
 {
   struct required *required;
 
   CK_LIST_FOREACH (required, &tenure->required, entry)
-  if (now >= promised_until (tenure, required->incarnation))
+  if (now >= get_promise_expiry (tenure, required->incarnation))
     return required->incarnation;
   return NULL;
 }
 
 rst_ms
-rst_tenure_until (const struct rst_tenure *tenure, rst_ms now)
+rst_tenure_get_expiry (const struct rst_tenure *tenure, rst_ms now)
 {
   rst_ms until = INT64_MAX;
   struct required *required;
@@ -209,15 +211,15 @@
   if (tenure->ended || !tenure->declared)
     return 0;
   CK_LIST_FOREACH (required, &tenure->required, entry)
-  until = MIN (until, promised_until (tenure, required->incarnation));
+  until = MIN (until, get_promise_expiry (tenure, required->incarnation));
   until = MAX (until, tenure->lease.valid_until);
   return now < until ? until : 0;
 }
 
 bool
-rst_tenure_held (const struct rst_tenure *tenure, rst_ms now)
+rst_tenure_is_held (const struct rst_tenure *tenure, rst_ms now)
 {
-  return rst_tenure_until (tenure, now) > now;
+  return rst_tenure_get_expiry (tenure, now) > now;
 }
 
 /* ---- Promises given --------------------------------------------------- */
@@ -294,8 +296,8 @@
 }
 
 rst_ms
-rst_promises_give (struct rst_promises *promises, const char *member,
-                   rst_ms now)
+rst_promises_issue (struct rst_promises *promises, const char *member,
+                    rst_ms now)
 {
   struct given *given = find_or_add_given (promises, member);
 
@@ -307,8 +309,8 @@
 }
 
 bool
-rst_promises_may_end (const struct rst_promises *promises, const char *member,
-                      rst_ms now)
+rst_promises_allow_fencing (const struct rst_promises *promises,
+                            const char *member, rst_ms now)
 {
   const struct given *given = find_given (promises, member);
   rst_ms heard_at = given != NULL ? given->heard_at : promises->created_at;
@@ -319,8 +321,8 @@
 }
 
 void
-rst_promises_refuse (struct rst_promises *promises, const char *member,
-                     bool refuse)
+rst_promises_set_refused (struct rst_promises *promises, const char *member,
+                          bool refuse)
 {
   struct given *given = find_or_add_given (promises, member);
 
--- a/src/daemon/entryd.c
+++ b/src/daemon/entryd.c
@@ -146,7 +146,7 @@
 static char *
 metrics_page (struct daemon *daemon)
 {
-  const struct rst_entry_counters *c = rst_entry_counters (daemon->entry);
+  const struct rst_entry_counters *c = rst_entry_get_counters (daemon->entry);
   GString *page = g_string_new ("");
 
   rst_metrics_counter (page, "requests_total", "Requests taken.", c->requests);
@@ -159,9 +159,9 @@
                        "Requests without a valid key.", c->unauthorized);
   rst_metrics_counter (page, "retries_total", "Further attempts.", c->retries);
   rst_metrics_gauge (page, "pending", "Requests that wait for an answer.",
-                     (double)rst_entry_pending (daemon->entry));
+                     (double)rst_entry_count_pending (daemon->entry));
   rst_metrics_gauge (page, "ready", "Whether it can serve callers.",
-                     rst_entry_ready (daemon->entry));
+                     rst_entry_is_ready (daemon->entry));
   rst_metrics_process (page);
   return g_string_free (page, FALSE);
 }
@@ -171,7 +171,7 @@
 serve_page (struct daemon *daemon, struct rst_http_request *http)
 {
   const char *path = rst_http_path (http);
-  bool ready = rst_entry_ready (daemon->entry);
+  bool ready = rst_entry_is_ready (daemon->entry);
   char *text;
 
   if (strcmp (path, "/livez") == 0)
@@ -181,7 +181,7 @@
                          ready ? "{\"ready\":true}\n" : "{\"ready\":false}\n");
   else if (strcmp (path, "/status") == 0)
     {
-      text = rst_entry_status (daemon->entry);
+      text = rst_entry_format_status (daemon->entry);
       rst_http_reply_text (http, 200, text);
       free (text);
     }
@@ -254,7 +254,7 @@
   request.urgency = rst_http_header (http, "X-Urgency");
   request.state = rst_http_query (http, "state");
   request.body = rst_http_body (http, &request.length);
-  rst_entry_request (daemon->entry, http, &request);
+  rst_entry_handle_request (daemon->entry, http, &request);
 }
 
 /* ---- Events
@@ -277,13 +277,13 @@
   switch (event->kind)
     {
     case RST_EVENT_OPENED:
-      rst_entry_link_opened (daemon->entry, event->link);
+      rst_entry_handle_link_opened (daemon->entry, event->link);
       break;
     case RST_EVENT_CLOSED:
-      rst_entry_link_closed (daemon->entry, event->link);
+      rst_entry_handle_link_closed (daemon->entry, event->link);
       break;
     case RST_EVENT_MESSAGE:
-      rst_entry_message (daemon->entry, event->link, &event->message);
+      rst_entry_handle_message (daemon->entry, event->link, &event->message);
       break;
     case RST_EVENT_HTTP:
       serve (daemon, event->request);
@@ -314,11 +314,12 @@
     {
       daemon->stop_at = rst_os_now ();
       rst_info (LOG_PREFIX, "Planned stop begins.");
-      rst_entry_stop (daemon->entry);
+      rst_entry_begin_stop (daemon->entry);
     }
   since = rst_os_now () - daemon->stop_at;
   return since > DRAIN_MS
-         || (since > LINGER_MS && rst_entry_pending (daemon->entry) == 0);
+         || (since > LINGER_MS
+             && rst_entry_count_pending (daemon->entry) == 0);
 }
 
 static void
@@ -348,7 +349,7 @@
   struct json_object *list = daemon->settings.schedulers;
 
   for (size_t i = 0; i < json_object_array_length (list); i++)
-    rst_entry_add_seed (
+    rst_entry_add_seed_address (
         daemon->entry,
         json_object_get_string (json_object_array_get_idx (list, i)));
 }
--- a/src/daemon/link.c
+++ b/src/daemon/link.c
@@ -113,10 +113,10 @@
   rst_net_close (((struct rst_link_net *)userdata)->net, connection);
 }
 
-const struct rst_links *
+const struct rst_link_ops *
 rst_link_table (void)
 {
-  static const struct rst_links table
+  static const struct rst_link_ops table
       = { link_connect, link_send, link_close };
 
   return &table;
--- a/src/daemon/link.h
+++ b/src/daemon/link.h
@@ -78,7 +78,7 @@
 };
 
 /** rst_link_table() - How the state machines use a struct rst_link_net. */
-const struct rst_links *rst_link_table (void);
+const struct rst_link_ops *rst_link_table (void);
 
 /** rst_link_config() - A net's configuration with the project's bounds. */
 struct rst_net_config rst_link_config (const char *listen,
--- a/src/daemon/schedd.c
+++ b/src/daemon/schedd.c
@@ -180,7 +180,7 @@
 metrics_page (struct daemon *daemon)
 {
   const struct rst_scheduler_counters *c
-      = rst_scheduler_counters (daemon->sched);
+      = rst_scheduler_get_counters (daemon->sched);
   GString *page = g_string_new ("");
 
   rst_metrics_counter (page, "queries_total", "Queries taken.", c->queries);
@@ -207,7 +207,7 @@
   rst_metrics_counter (page, "tenures_lost_total", "Own tenures ended.",
                        c->fenced);
   rst_metrics_gauge (page, "ready", "Whether it takes work.",
-                     rst_scheduler_ready (daemon->sched));
+                     rst_scheduler_is_ready (daemon->sched));
   rst_metrics_process (page);
   return g_string_free (page, FALSE);
 }
@@ -216,7 +216,7 @@
 serve_status (struct daemon *daemon, struct rst_http_request *request)
 {
   const char *path = rst_http_path (request);
-  bool ready = rst_scheduler_ready (daemon->sched);
+  bool ready = rst_scheduler_is_ready (daemon->sched);
   char *text;
 
   if (strcmp (path, "/livez") == 0)
@@ -226,7 +226,7 @@
                          ready ? "{\"ready\":true}\n" : "{\"ready\":false}\n");
   else if (strcmp (path, "/status") == 0)
     {
-      text = rst_scheduler_status (daemon->sched);
+      text = rst_scheduler_format_status (daemon->sched);
       rst_http_reply_text (request, 200, text);
       free (text);
     }
@@ -272,13 +272,14 @@
   switch (event->kind)
     {
     case RST_EVENT_OPENED:
-      rst_scheduler_link_opened (daemon->sched, event->link);
+      rst_scheduler_handle_link_opened (daemon->sched, event->link);
       break;
     case RST_EVENT_CLOSED:
-      rst_scheduler_link_closed (daemon->sched, event->link);
+      rst_scheduler_handle_link_closed (daemon->sched, event->link);
       break;
     case RST_EVENT_MESSAGE:
-      rst_scheduler_message (daemon->sched, event->link, &event->message);
+      rst_scheduler_handle_message (daemon->sched, event->link,
+                                    &event->message);
       break;
     case RST_EVENT_PLATFORM:
       rst_platform_event_run (event->platform);
@@ -304,7 +305,7 @@
 {
   struct daemon *daemon = userdata;
 
-  while (!rst_scheduler_stopped (daemon->sched))
+  while (!rst_scheduler_is_stopped (daemon->sched))
     {
       rst_ms now = rst_os_now ();
 
@@ -317,7 +318,7 @@
           rst_scheduler_tick (daemon->sched);
         }
       if (atomic_load (&daemon->stop))
-        rst_scheduler_stop (daemon->sched);
+        rst_scheduler_begin_stop (daemon->sched);
     }
   return NULL;
 }
@@ -377,7 +378,7 @@
   size_t count = list != NULL ? json_object_array_length (list) : 0;
 
   for (size_t i = 0; i < count; i++)
-    rst_scheduler_add_seed (
+    rst_scheduler_add_seed_address (
         daemon->sched,
         json_object_get_string (json_object_array_get_idx (list, i)));
 }
@@ -399,7 +400,7 @@
   config.tenure.promise_ms = settings->promise_ms;
   config.tenure.quiet_ms = settings->quiet_ms;
   config.task_lease_ms = settings->task_lease_ms;
-  config.list_ms = settings->list_interval_ms;
+  config.list_interval_ms = settings->list_interval_ms;
   config.clock = rst_os_clock ();
   config.seed = rst_os_random ();
   daemon->sched = rst_scheduler_create (&config, rst_platform_http_table (),
--- a/src/state/job.c
+++ b/src/state/job.c
@@ -143,7 +143,7 @@
       && (int64_t)strlen (ended) == out->spec.tasks)
     {
       out->generation = (uint64_t)rst_json_number (root, "generation", 0);
-      out->write = (uint64_t)rst_json_number (root, "write", 0);
+      out->write_number = (uint64_t)rst_json_number (root, "write", 0);
       out->cancelled = rst_json_bool (root, "cancelled", false);
       out->intent = rst_json_number (root, "intent", 0);
       out->ended = g_strdup (ended);
@@ -178,7 +178,7 @@
   rst_json_set_text (root, "name", record->name);
   rst_json_set_text (root, "owner", record->owner);
   rst_json_set_number (root, "generation", (int64_t)record->generation);
-  rst_json_set_number (root, "write", (int64_t)record->write);
+  rst_json_set_number (root, "write", (int64_t)record->write_number);
   rst_json_set_bool (root, "cancelled", record->cancelled);
   rst_json_set_number (root, "intent", record->intent);
   rst_json_set_text (root, "ended", record->ended);
--- a/src/state/job.h
+++ b/src/state/job.h
@@ -46,7 +46,7 @@
  * @name: "TEAM/ID".
  * @owner: Incarnation of the scheduler that follows it.
  * @generation: Grows by one with each new owner.
- * @write: The owner's number of this write.
+ * @write_number: The owner's number of this write.
  * @revision: Store revision; 0 when not stored yet.
  * @spec: What was asked for.
  * @cancelled: The caller has cancelled it.
@@ -59,7 +59,7 @@
   char name[RST_NAME_SIZE];
   char owner[RST_NAME_SIZE];
   uint64_t generation;
-  uint64_t write;
+  uint64_t write_number;
   uint64_t revision;
   struct rst_job_spec spec;
   bool cancelled;
--- a/test/bench/measure.cc
+++ b/test/bench/measure.cc
@@ -111,7 +111,7 @@
   world.advance (5000);
 
   const struct rst_scheduler_counters *counters
-      = rst_scheduler_counters (world.node (0)->scheduler);
+      = rst_scheduler_get_counters (world.node (0)->scheduler);
   uint64_t decisions = counters->decisions;
   uint64_t ns = counters->decision_ns;
 
--- a/test/fuzz/fuzz.cc
+++ b/test/fuzz/fuzz.cc
@@ -165,7 +165,7 @@
     for (int i = 0; i < world.schedulers (); i++)
       if (world.node (i)->alive ())
         {
-          char *text = rst_scheduler_status (world.node (i)->scheduler);
+          char *text = rst_scheduler_format_status (world.node (i)->scheduler);
 
           std::cout << text << '\n';
           free (text);
--- a/test/fuzz/world.cc
+++ b/test/fuzz/world.cc
@@ -484,7 +484,7 @@
   node_of (u)->world->close (node_of (u), link);
 }
 
-const struct rst_links links = { l_connect, l_send, l_close };
+const struct rst_link_ops links = { l_connect, l_send, l_close };
 
 void
 on_answer (void *handle, const struct rst_entry_reply *reply)
@@ -595,8 +595,8 @@
     Node *node;
   } context = { this, node };
   const struct rst_settings *settings
-      = node->is_entry ? rst_entry_settings (node->entry)
-                       : rst_scheduler_settings (node->scheduler);
+      = node->is_entry ? rst_entry_get_settings (node->entry)
+                       : rst_scheduler_get_settings (node->scheduler);
 
   rst_settings_visit (
       settings,
@@ -625,7 +625,7 @@
           rst_scheduler_tick (node->scheduler);
       });
       if (node->scheduler != nullptr
-          && rst_scheduler_stopped (node->scheduler))
+          && rst_scheduler_is_stopped (node->scheduler))
         {
           oracle.stop_done (node->name, now);
           node->stopping = false;
@@ -661,7 +661,8 @@
       node->entry = rst_entry_create (&config, &links, node, on_answer);
       for (int i = 0; i < schedulers (); i++)
         if (nodes_[i]->zone == node->zone)
-          rst_entry_add_seed (node->entry, nodes_[i]->address.c_str ());
+          rst_entry_add_seed_address (node->entry,
+                                      nodes_[i]->address.c_str ());
     }
   else
     {
@@ -672,15 +673,15 @@
       g_strlcpy (config.address, node->address.c_str (), RST_ADDRESS_SIZE);
       config.tenure = { 4500, 300, 3000, 5000 };
       config.task_lease_ms = 6000;
-      config.list_ms = 500;
+      config.list_interval_ms = 500;
       config.clock = { node_clock, node };
       config.seed = random ();
       node->scheduler
           = rst_scheduler_create (&config, &platform, node, &links, node);
       for (int i = 0; i < schedulers (); i++)
         if (nodes_[i].get () != node && nodes_[i]->zone == node->zone)
-          rst_scheduler_add_seed (node->scheduler,
-                                  nodes_[i]->address.c_str ());
+          rst_scheduler_add_seed_address (node->scheduler,
+                                          nodes_[i]->address.c_str ());
     }
   tick_node (node);
 }
@@ -762,7 +763,7 @@
     return;
   node->stopping = true;
   oracle.stop_asked (node->name, now);
-  rst_scheduler_stop (node->scheduler);
+  rst_scheduler_begin_stop (node->scheduler);
 }
 
 /* ---- Links
@@ -803,9 +804,9 @@
       at (to == nullptr ? 2 : 1000, [=] {
         deliver (from, life, [=] {
           if (from->is_entry)
-            rst_entry_link_closed (from->entry, id);
+            rst_entry_handle_link_closed (from->entry, id);
           else
-            rst_scheduler_link_closed (from->scheduler, id);
+            rst_scheduler_handle_link_closed (from->scheduler, id);
         });
       });
       return id;
@@ -821,9 +822,9 @@
 
         deliver (node, link->life[side], [node, id] {
           if (node->is_entry)
-            rst_entry_link_opened (node->entry, id);
+            rst_entry_handle_link_opened (node->entry, id);
           else
-            rst_scheduler_link_opened (node->scheduler, id);
+            rst_scheduler_handle_link_opened (node->scheduler, id);
         });
       }
     /* The peer was replaced meanwhile. */
@@ -850,9 +851,9 @@
         links_.erase (id);
         deliver (node, link->life[side], [node, id] {
           if (node->is_entry)
-            rst_entry_link_closed (node->entry, id);
+            rst_entry_handle_link_closed (node->entry, id);
           else
-            rst_scheduler_link_closed (node->scheduler, id);
+            rst_scheduler_handle_link_closed (node->scheduler, id);
         });
       }
   });
@@ -930,9 +931,9 @@
           return;
         deliver (node, link->life[to], [node, here, copy] {
           if (node->is_entry)
-            rst_entry_message (node->entry, here, copy.get ());
+            rst_entry_handle_message (node->entry, here, copy.get ());
           else
-            rst_scheduler_message (node->scheduler, here, copy.get ());
+            rst_scheduler_handle_message (node->scheduler, here, copy.get ());
         });
       });
     }
@@ -1473,7 +1474,7 @@
   request.body = caller.body.c_str ();
   request.length = caller.body.size ();
   pending_++;
-  rst_entry_request (node->entry, new Handle{ this, number }, &request);
+  rst_entry_handle_request (node->entry, new Handle{ this, number }, &request);
 }
 
 int
@@ -1575,7 +1576,8 @@
   request.body = body.c_str ();
   request.length = body.size ();
   pending_++;
-  rst_entry_request (node->entry, new Handle{ this, -number }, &request);
+  rst_entry_handle_request (node->entry, new Handle{ this, -number },
+                            &request);
   return number;
 }
 
@@ -1616,7 +1618,7 @@
   request.job = id.c_str ();
   request.body = "";
   pending_++;
-  rst_entry_request (node->entry, new Handle{ this, -1 }, &request);
+  rst_entry_handle_request (node->entry, new Handle{ this, -1 }, &request);
 }
 
 int
--- a/test/unit/coordination_test.cc
+++ b/test/unit/coordination_test.cc
@@ -35,14 +35,14 @@
   struct rst_lease lease;
 
   ASSERT_EQ (rst_lease_init (&lease, 1000, 100), RST_OK);
-  EXPECT_FALSE (rst_lease_held (&lease, 0));
-  rst_lease_renewed (&lease, 500);
-  EXPECT_TRUE (rst_lease_held (&lease, 1399));
-  EXPECT_FALSE (rst_lease_held (&lease, 1400));
-  rst_lease_renewed (&lease, 300);
-  EXPECT_TRUE (rst_lease_held (&lease, 1399));
+  EXPECT_FALSE (rst_lease_is_held (&lease, 0));
+  rst_lease_record_renewal (&lease, 500);
+  EXPECT_TRUE (rst_lease_is_held (&lease, 1399));
+  EXPECT_FALSE (rst_lease_is_held (&lease, 1400));
+  rst_lease_record_renewal (&lease, 300);
+  EXPECT_TRUE (rst_lease_is_held (&lease, 1399));
   rst_lease_drop (&lease);
-  EXPECT_FALSE (rst_lease_held (&lease, 600));
+  EXPECT_FALSE (rst_lease_is_held (&lease, 600));
 }
 
 TEST (Lease, RefusesAMarginOutsideTheTimeToLive)
@@ -63,8 +63,8 @@
 
     tenure = rst_tenure_create (&config, "a");
     zone = zone_of (members, 3, 10);
-    rst_tenure_declare (tenure, zone);
-    rst_tenure_declared (tenure, 10);
+    rst_tenure_declare_view (tenure, zone);
+    rst_tenure_confirm_view (tenure, 10);
   }
 
   void
@@ -80,19 +80,19 @@
 
 TEST_F (Tenure, IsHeldByTheLeaseAlone)
 {
-  rst_tenure_renewed (tenure, 1000);
-  EXPECT_TRUE (rst_tenure_held (tenure, 4799));
-  EXPECT_FALSE (rst_tenure_held (tenure, 4800));
+  rst_tenure_record_renewal (tenure, 1000);
+  EXPECT_TRUE (rst_tenure_is_held (tenure, 4799));
+  EXPECT_FALSE (rst_tenure_is_held (tenure, 4800));
 }
 
 TEST_F (Tenure, NeedsThePromiseOfEveryDeclaredMember)
 {
-  rst_tenure_promised (tenure, "b", 1000, 2000);
-  EXPECT_FALSE (rst_tenure_held (tenure, 1500));
-  EXPECT_STREQ (rst_tenure_lacking (tenure, 1500), "c");
-  rst_tenure_promised (tenure, "c", 1200, 2000);
-  EXPECT_TRUE (rst_tenure_held (tenure, 2799));
-  EXPECT_FALSE (rst_tenure_held (tenure, 2800));
+  rst_tenure_record_promise (tenure, "b", 1000, 2000);
+  EXPECT_FALSE (rst_tenure_is_held (tenure, 1500));
+  EXPECT_STREQ (rst_tenure_find_missing_promise (tenure, 1500), "c");
+  rst_tenure_record_promise (tenure, "c", 1200, 2000);
+  EXPECT_TRUE (rst_tenure_is_held (tenure, 2799));
+  EXPECT_FALSE (rst_tenure_is_held (tenure, 2800));
 }
 
 TEST_F (Tenure, NeedsPromisesOfAViewFromBeforeItsWriteIsSent)
@@ -100,13 +100,13 @@
   const char *more[] = { "a", "b", "c", "d" };
   struct rst_zone *wider = zone_of (more, 4, 20);
 
-  rst_tenure_promised (tenure, "b", 1000, 2000);
-  rst_tenure_promised (tenure, "c", 1000, 2000);
-  ASSERT_TRUE (rst_tenure_held (tenure, 1500));
-  rst_tenure_declare (tenure, wider);
-  EXPECT_FALSE (rst_tenure_held (tenure, 1500));
-  rst_tenure_promised (tenure, "d", 1400, 2000);
-  EXPECT_TRUE (rst_tenure_held (tenure, 1500));
+  rst_tenure_record_promise (tenure, "b", 1000, 2000);
+  rst_tenure_record_promise (tenure, "c", 1000, 2000);
+  ASSERT_TRUE (rst_tenure_is_held (tenure, 1500));
+  rst_tenure_declare_view (tenure, wider);
+  EXPECT_FALSE (rst_tenure_is_held (tenure, 1500));
+  rst_tenure_record_promise (tenure, "d", 1400, 2000);
+  EXPECT_TRUE (rst_tenure_is_held (tenure, 1500));
   rst_zone_destroy (wider);
 }
 
@@ -115,48 +115,48 @@
   const char *fewer[] = { "a", "b" };
   struct rst_zone *narrower = zone_of (fewer, 2, 20);
 
-  rst_tenure_declare (tenure, narrower);
-  rst_tenure_promised (tenure, "b", 1000, 2000);
-  EXPECT_FALSE (rst_tenure_held (tenure, 1500));
-  rst_tenure_declared (tenure, 20);
-  EXPECT_TRUE (rst_tenure_held (tenure, 1500));
+  rst_tenure_declare_view (tenure, narrower);
+  rst_tenure_record_promise (tenure, "b", 1000, 2000);
+  EXPECT_FALSE (rst_tenure_is_held (tenure, 1500));
+  rst_tenure_confirm_view (tenure, 20);
+  EXPECT_TRUE (rst_tenure_is_held (tenure, 1500));
   rst_zone_destroy (narrower);
 }
 
 TEST_F (Tenure, CountsAStoppedMemberOnlyInsideTheQuietTime)
 {
-  rst_tenure_promised (tenure, "b", 1000, 2000);
-  rst_tenure_promised (tenure, "c", 1000, 2000);
-  rst_tenure_stopped (tenure, "c", 4900);
-  EXPECT_FALSE (rst_tenure_held (tenure, 4950));
-  rst_tenure_promised (tenure, "b", 4900, 2000);
-  EXPECT_FALSE (rst_tenure_held (tenure, 4950));
-  rst_tenure_promised (tenure, "c", 5000, 2000);
-  rst_tenure_stopped (tenure, "c", 8000);
-  rst_tenure_promised (tenure, "b", 8000, 2000);
-  EXPECT_TRUE (rst_tenure_held (tenure, 9000));
+  rst_tenure_record_promise (tenure, "b", 1000, 2000);
+  rst_tenure_record_promise (tenure, "c", 1000, 2000);
+  rst_tenure_record_member_stop (tenure, "c", 4900);
+  EXPECT_FALSE (rst_tenure_is_held (tenure, 4950));
+  rst_tenure_record_promise (tenure, "b", 4900, 2000);
+  EXPECT_FALSE (rst_tenure_is_held (tenure, 4950));
+  rst_tenure_record_promise (tenure, "c", 5000, 2000);
+  rst_tenure_record_member_stop (tenure, "c", 8000);
+  rst_tenure_record_promise (tenure, "b", 8000, 2000);
+  EXPECT_TRUE (rst_tenure_is_held (tenure, 9000));
 }
 
 TEST_F (Tenure, EndsForGood)
 {
-  rst_tenure_renewed (tenure, 1000);
+  rst_tenure_record_renewal (tenure, 1000);
   rst_tenure_end (tenure);
-  EXPECT_FALSE (rst_tenure_held (tenure, 1001));
+  EXPECT_FALSE (rst_tenure_is_held (tenure, 1001));
 }
 
 TEST (Promises, RunOutBeforeATenureMayBeEnded)
 {
   struct rst_promises *promises = rst_promises_create (&config, 0);
 
-  EXPECT_FALSE (rst_promises_may_end (promises, "a", 3999));
-  EXPECT_TRUE (rst_promises_may_end (promises, "a", 4000));
-  EXPECT_EQ (rst_promises_give (promises, "a", 5000), 2000);
-  EXPECT_FALSE (rst_promises_may_end (promises, "a", 8999));
-  EXPECT_TRUE (rst_promises_may_end (promises, "a", 9000));
-  rst_promises_refuse (promises, "a", true);
-  EXPECT_EQ (rst_promises_give (promises, "a", 9001), 0);
-  rst_promises_refuse (promises, "a", false);
-  EXPECT_EQ (rst_promises_give (promises, "a", 9002), 2000);
+  EXPECT_FALSE (rst_promises_allow_fencing (promises, "a", 3999));
+  EXPECT_TRUE (rst_promises_allow_fencing (promises, "a", 4000));
+  EXPECT_EQ (rst_promises_issue (promises, "a", 5000), 2000);
+  EXPECT_FALSE (rst_promises_allow_fencing (promises, "a", 8999));
+  EXPECT_TRUE (rst_promises_allow_fencing (promises, "a", 9000));
+  rst_promises_set_refused (promises, "a", true);
+  EXPECT_EQ (rst_promises_issue (promises, "a", 9001), 0);
+  rst_promises_set_refused (promises, "a", false);
+  EXPECT_EQ (rst_promises_issue (promises, "a", 9002), 2000);
   rst_promises_destroy (promises);
 }
 
@@ -169,12 +169,12 @@
   char *text;
 
   strcpy (zone->writer, "a");
-  zone->write = 7;
-  ASSERT_GE (rst_zone_claim (zone, "a", instances, 3), 0);
+  zone->write_number = 7;
+  ASSERT_GE (rst_zone_claim_instances (zone, "a", instances, 3), 0);
   text = rst_zone_format (zone);
   ASSERT_EQ (rst_zone_parse (text, 9, &read), RST_OK);
   EXPECT_EQ (read->revision, 9u);
-  EXPECT_EQ (read->write, 7u);
+  EXPECT_EQ (read->write_number, 7u);
   EXPECT_EQ (read->member_count, 2);
   ASSERT_EQ (read->owned_count, 3);
   EXPECT_STREQ (read->owned[0].instance, "w1");
@@ -191,13 +191,13 @@
   const char *instances[] = { "w1", "w2" };
   struct rst_zone *zone = zone_of (members, 1, 1);
 
-  EXPECT_EQ (rst_zone_claim (zone, "a", instances, 2), 2);
-  EXPECT_EQ (rst_zone_claim (zone, "a", instances, 2), 0);
-  EXPECT_EQ (rst_zone_find_owned (zone, "w1")->epoch, 2u);
+  EXPECT_EQ (rst_zone_claim_instances (zone, "a", instances, 2), 2);
+  EXPECT_EQ (rst_zone_claim_instances (zone, "a", instances, 2), 0);
+  EXPECT_EQ (rst_zone_find_ownership (zone, "w1")->epoch, 2u);
   EXPECT_EQ (rst_zone_remove_member (zone, "a"), RST_OK);
-  EXPECT_STREQ (rst_zone_find_owned (zone, "w1")->owner, "");
-  EXPECT_FALSE (rst_zone_find_owned (zone, "w1")->settled);
-  EXPECT_EQ (rst_zone_claim (zone, "a", instances, 2), 0);
+  EXPECT_STREQ (rst_zone_find_ownership (zone, "w1")->owner, "");
+  EXPECT_FALSE (rst_zone_find_ownership (zone, "w1")->settled);
+  EXPECT_EQ (rst_zone_claim_instances (zone, "a", instances, 2), 0);
   rst_zone_destroy (zone);
 }
 
@@ -208,12 +208,12 @@
   struct rst_zone *zone = zone_of (members, 1, 3);
   uint64_t epoch;
 
-  ASSERT_EQ (rst_zone_claim (zone, "a", instances, 1), 1);
-  epoch = rst_zone_find_owned (zone, "w1")->epoch;
-  ASSERT_EQ (rst_zone_forget (zone, "w1"), RST_OK);
+  ASSERT_EQ (rst_zone_claim_instances (zone, "a", instances, 1), 1);
+  epoch = rst_zone_find_ownership (zone, "w1")->epoch;
+  ASSERT_EQ (rst_zone_remove_instance (zone, "w1"), RST_OK);
   zone->revision = 5;
-  ASSERT_EQ (rst_zone_claim (zone, "a", instances, 1), 1);
-  EXPECT_GT (rst_zone_find_owned (zone, "w1")->epoch, epoch);
+  ASSERT_EQ (rst_zone_claim_instances (zone, "a", instances, 1), 1);
+  EXPECT_GT (rst_zone_find_ownership (zone, "w1")->epoch, epoch);
   rst_zone_destroy (zone);
 }
 
@@ -232,7 +232,7 @@
     }
   for (int round = 0; round < 3; round++)
     for (int m = 0; m < 3; m++)
-      rst_zone_claim (zone, members[m], instances, 60);
+      rst_zone_claim_instances (zone, members[m], instances, 60);
   for (int i = 0; i < zone->owned_count; i++)
     for (int m = 0; m < 3; m++)
       if (strcmp (zone->owned[i].owner, members[m]) == 0)
@@ -252,13 +252,13 @@
   for (int i = 0; i < 200; i++)
     {
       std::string key = "key" + std::to_string (i);
-      int before = rst_rendezvous (key.c_str (), three, 3);
+      int before = rst_rendezvous_pick (key.c_str (), three, 3);
 
       if (before == 2)
         continue;
-      EXPECT_EQ (rst_rendezvous (key.c_str (), two, 2), before);
+      EXPECT_EQ (rst_rendezvous_pick (key.c_str (), two, 2), before);
     }
-  EXPECT_EQ (rst_rendezvous ("x", two, 0), -1);
+  EXPECT_EQ (rst_rendezvous_pick ("x", two, 0), -1);
 }
 
 TEST (Limit, NeverGrantsMoreThanTheUpperLimit)
@@ -266,10 +266,10 @@
   struct rst_limit limit;
 
   ASSERT_EQ (rst_limit_parse (nullptr, 0, &limit), RST_OK);
-  EXPECT_EQ (rst_limit_request (&limit, "a", 10, 8), RST_OK);
-  EXPECT_EQ (rst_limit_request (&limit, "b", 10, 8), RST_ERROR_LIMIT);
-  EXPECT_EQ (rst_limit_granted (&limit), 10u);
-  EXPECT_EQ (rst_limit_find (&limit, "b")->wanted, 6u);
+  EXPECT_EQ (rst_limit_grow_part (&limit, "a", 10, 8), RST_OK);
+  EXPECT_EQ (rst_limit_grow_part (&limit, "b", 10, 8), RST_ERROR_LIMIT);
+  EXPECT_EQ (rst_limit_sum_granted (&limit), 10u);
+  EXPECT_EQ (rst_limit_find_part (&limit, "b")->wanted, 6u);
 }
 
 TEST (Limit, ReturnsHalfOfWhatIsUnusedWhenOthersAsk)
@@ -277,11 +277,11 @@
   struct rst_limit limit;
 
   rst_limit_parse (nullptr, 0, &limit);
-  rst_limit_request (&limit, "a", 10, 10);
-  EXPECT_EQ (rst_limit_target (&limit, "a", 10, 2, 0), 10u);
-  rst_limit_request (&limit, "b", 10, 3);
-  EXPECT_EQ (rst_limit_target (&limit, "a", 10, 2, 0), 7u);
-  EXPECT_EQ (rst_limit_target (&limit, "a", 10, 2, 8), 10u);
+  rst_limit_grow_part (&limit, "a", 10, 10);
+  EXPECT_EQ (rst_limit_get_target_part (&limit, "a", 10, 2, 0), 10u);
+  rst_limit_grow_part (&limit, "b", 10, 3);
+  EXPECT_EQ (rst_limit_get_target_part (&limit, "a", 10, 2, 0), 7u);
+  EXPECT_EQ (rst_limit_get_target_part (&limit, "a", 10, 2, 8), 10u);
 }
 
 TEST (Limit, ALoweredLimitIsSharedOut)
@@ -289,10 +289,10 @@
   struct rst_limit limit;
 
   rst_limit_parse (nullptr, 0, &limit);
-  rst_limit_request (&limit, "a", 20, 15);
-  rst_limit_request (&limit, "b", 20, 5);
-  EXPECT_EQ (rst_limit_target (&limit, "a", 10, 15, 0), 7u);
-  EXPECT_EQ (rst_limit_target (&limit, "b", 10, 5, 0), 2u);
+  rst_limit_grow_part (&limit, "a", 20, 15);
+  rst_limit_grow_part (&limit, "b", 20, 5);
+  EXPECT_EQ (rst_limit_get_target_part (&limit, "a", 10, 15, 0), 7u);
+  EXPECT_EQ (rst_limit_get_target_part (&limit, "b", 10, 5, 0), 2u);
 }
 
 TEST (Limit, SurvivesItsJson)
@@ -302,27 +302,27 @@
   char *text;
 
   rst_limit_parse (nullptr, 0, &limit);
-  rst_limit_request (&limit, "a", 20, 15);
-  rst_limit_find (&limit, "a")->write = 4;
+  rst_limit_grow_part (&limit, "a", 20, 15);
+  rst_limit_find_part (&limit, "a")->write_number = 4;
   text = rst_limit_format (&limit);
   ASSERT_EQ (rst_limit_parse (text, 3, &read), RST_OK);
   EXPECT_EQ (read.revision, 3u);
-  EXPECT_EQ (rst_limit_find (&read, "a")->granted, 15u);
-  EXPECT_EQ (rst_limit_find (&read, "a")->write, 4u);
+  EXPECT_EQ (rst_limit_find_part (&read, "a")->granted, 15u);
+  EXPECT_EQ (rst_limit_find_part (&read, "a")->write_number, 4u);
   EXPECT_EQ (rst_limit_parse ("[]", 1, &read), RST_ERROR_INVALID);
   free (text);
 }
 
 TEST (Budget, BoundsRetriesToAPartOfTheRequests)
 {
-  struct rst_budget budget;
+  struct rst_retry_budget budget;
   int retries = 0;
 
-  rst_budget_init (&budget, 100, 2);
+  rst_retry_budget_init (&budget, 100, 2);
   for (int i = 0; i < 100; i++)
     {
-      rst_budget_earn (&budget);
-      if (rst_budget_spend (&budget))
+      rst_retry_budget_add_request (&budget);
+      if (rst_retry_budget_take_retry (&budget))
         retries++;
     }
   EXPECT_LE (retries, 12);
@@ -334,18 +334,18 @@
   struct rst_breaker breaker;
 
   rst_breaker_init (&breaker, 2, 100);
-  rst_breaker_result (&breaker, false, 0);
-  EXPECT_TRUE (rst_breaker_allows (&breaker, 0));
-  rst_breaker_result (&breaker, false, 0);
-  EXPECT_FALSE (rst_breaker_allows (&breaker, 99));
-  EXPECT_TRUE (rst_breaker_allows (&breaker, 100));
-  rst_breaker_sent (&breaker);
-  EXPECT_FALSE (rst_breaker_allows (&breaker, 101));
-  rst_breaker_result (&breaker, false, 101);
-  EXPECT_FALSE (rst_breaker_allows (&breaker, 300));
-  EXPECT_TRUE (rst_breaker_allows (&breaker, 301));
-  rst_breaker_result (&breaker, true, 302);
-  EXPECT_TRUE (rst_breaker_allows (&breaker, 302));
+  rst_breaker_record_result (&breaker, false, 0);
+  EXPECT_TRUE (rst_breaker_allows_request (&breaker, 0));
+  rst_breaker_record_result (&breaker, false, 0);
+  EXPECT_FALSE (rst_breaker_allows_request (&breaker, 99));
+  EXPECT_TRUE (rst_breaker_allows_request (&breaker, 100));
+  rst_breaker_record_request (&breaker);
+  EXPECT_FALSE (rst_breaker_allows_request (&breaker, 101));
+  rst_breaker_record_result (&breaker, false, 101);
+  EXPECT_FALSE (rst_breaker_allows_request (&breaker, 300));
+  EXPECT_TRUE (rst_breaker_allows_request (&breaker, 301));
+  rst_breaker_record_result (&breaker, true, 302);
+  EXPECT_TRUE (rst_breaker_allows_request (&breaker, 302));
 }
 
 TEST (MemberRecord, SurvivesItsJson)
