--- a/src/cell/agent.c
+++ b/src/cell/agent.c
@@ -7,16 +7,16 @@
 #define LOG_PREFIX "agent"
 
 /** How long a look waits for an end, in milliseconds. */
-#define LOOK_WAIT_MS 2000
+#define POLL_WAIT_MAX_MS 2000
 
 /** Pause after a look that failed, in milliseconds. */
-#define LOOK_AGAIN_MS 300
+#define POLL_RETRY_MS 300
 
 /** Longest wait for the planner to store listed ends, in milliseconds. */
 #define ACK_WAIT_MS 800
 
 /** Answers of one life may cross by this much, in milliseconds. */
-#define CLOCK_MARGIN_MS 3000
+#define CLOCK_REORDER_MARGIN_MS 3000
 
 /** Longest time without anything due, in milliseconds. */
 #define IDLE_MS 1000
@@ -28,18 +28,18 @@
   char address[RST_ADDRESS_SIZE];
   int64_t fence;
   int64_t last_seen;
-  int64_t listed;
+  int64_t last_listed;
   int64_t born;
   int64_t clock_ms;
-  rst_ms clock_at;
-  rst_ms lease_until;
+  rst_ms clock_read_at;
+  rst_ms lease_expires_at;
   rst_ms wait_ms;
-  bool looking;
-  bool dropped;
+  bool poll_pending;
+  bool released;
   /* Whether the last answer came from the life that the numbers belong to.
      An instance may start again under its id and count its ends anew. */
-  bool same_life;
-  rst_ms next_look;
+  bool same_incarnation;
+  rst_ms next_poll_at;
 };
 
 struct rst_agent
@@ -60,7 +60,7 @@
 };
 
 /* A call for advice under way. */
-struct question
+struct advice_request
 {
   struct rst_agent *agent;
   int64_t handle;
@@ -102,14 +102,15 @@
 /* End of the lease on the instance's clock, or 0 when it may not be
    extended or its clock is not known. */
 static int64_t
-deadline (struct held *held, rst_ms now)
+extend_lease (struct held *held, rst_ms now)
 {
   struct rst_agent *agent = held->agent;
 
-  if (held->clock_ms == 0 || now - agent->confirmed_at > agent->config.keep_ms)
+  if (held->clock_ms == 0
+      || now - agent->confirmed_at > agent->config.unconfirmed_renewal_ms)
     return 0;
-  held->lease_until = now + agent->config.lease_ms;
-  return held->clock_ms + (now - held->clock_at) + agent->config.lease_ms;
+  held->lease_expires_at = now + agent->config.lease_ms;
+  return held->clock_ms + (now - held->clock_read_at) + agent->config.lease_ms;
 }
 
 static void
@@ -119,15 +120,15 @@
   rst_pack_int (pack, run->number);
   rst_pack_text (pack, run->task);
   rst_pack_int (pack, run->attempt);
-  rst_pack_int (pack, run->how);
-  rst_pack_text (pack, run->saved);
+  rst_pack_int (pack, run->end_reason);
+  rst_pack_text (pack, run->checkpoint);
   rst_pack_int (pack, run->percent);
   rst_pack_int (pack, run->usage);
 }
 
 static void
-report (struct held *held, const struct rst_instance_answer *answer,
-        rst_ms now)
+send_report (struct held *held, const struct rst_instance_answer *answer,
+             rst_ms now)
 {
   struct rst_pack pack;
 
@@ -137,7 +138,7 @@
   rst_pack_int (&pack, answer->result);
   rst_pack_int (&pack, answer->clock_ms);
   rst_pack_int (&pack, answer->born);
-  rst_pack_int (&pack, MAX (held->lease_until - now, 0));
+  rst_pack_int (&pack, MAX (held->lease_expires_at - now, 0));
   rst_pack_int (&pack, held->fence);
   rst_pack_array (&pack, answer->runs->len);
   for (guint i = 0; i < answer->runs->len; i++)
@@ -146,63 +147,64 @@
 }
 
 static void
-take_clock (struct held *held, const struct rst_instance_answer *answer,
-            rst_ms now)
+update_clock (struct held *held, const struct rst_instance_answer *answer,
+              rst_ms now)
 {
   if (answer->clock_ms == 0)
     return;
   held->clock_ms = answer->clock_ms;
-  held->clock_at = now;
+  held->clock_read_at = now;
 }
 
-static void look (struct held *held, rst_ms now);
+static void poll_instance (struct held *held, rst_ms now);
 
 static void
-take_look (struct held *held, const struct rst_instance_answer *answer,
-           rst_ms now)
+update_from_poll (struct held *held, const struct rst_instance_answer *answer,
+                  rst_ms now)
 {
   if (answer->born != held->born)
     {
       held->born = answer->born;
       held->last_seen = 0;
-      held->listed = 0;
+      held->last_listed = 0;
     }
-  held->same_life = true;
-  take_clock (held, answer, now);
+  held->same_incarnation = true;
+  update_clock (held, answer, now);
   for (guint i = 0; i < answer->runs->len; i++)
-    held->listed = MAX (
-        held->listed, g_array_index (answer->runs, struct rst_run, i).number);
+    held->last_listed
+        = MAX (held->last_listed,
+               g_array_index (answer->runs, struct rst_run, i).number);
 }
 
 static void
-on_look (struct rst_instance_answer *answer, void *userdata)
+on_poll_done (struct rst_instance_answer *answer, void *userdata)
 {
   struct held *held = userdata;
   rst_ms now = held->agent->config.now ();
 
-  held->looking = false;
-  if (held->dropped)
+  held->poll_pending = false;
+  if (held->released)
     {
       g_free (held);
       rst_instance_answer_free (answer);
       return;
     }
   if (answer->result == RST_RESULT_OK)
-    take_look (held, answer, now);
+    update_from_poll (held, answer, now);
   else
-    held->same_life = false;
-  report (held, answer, now);
+    held->same_incarnation = false;
+  send_report (held, answer, now);
   if (answer->result != RST_RESULT_OK)
-    held->next_look = now + LOOK_AGAIN_MS;
-  else if (held->listed > held->last_seen)
-    held->next_look = now + ACK_WAIT_MS;
+    held->next_poll_at = now + POLL_RETRY_MS;
+  else if (held->last_listed > held->last_seen)
+    held->next_poll_at = now + ACK_WAIT_MS;
   else
-    look (held, now);
+    poll_instance (held, now);
   rst_instance_answer_free (answer);
 }
 
 static void
-look (struct held *held, rst_ms now)
+poll_instance (struct held *held, rst_ms now)
 {
   struct rst_instance_call call = { 0 };
   const struct rst_backend *backend = held->agent->config.backend;
@@ -210,25 +212,25 @@
   call.id = held->id;
   call.address = held->address;
   call.fence = held->fence;
-  call.last_seen = held->same_life ? held->last_seen : 0;
-  call.deadline_ms = deadline (held, now);
+  call.last_seen = held->same_incarnation ? held->last_seen : 0;
+  call.deadline_ms = extend_lease (held, now);
   /* Ends that wait to be stored would end the wait at once. */
-  if (held->same_life && held->listed <= held->last_seen)
+  if (held->same_incarnation && held->last_listed <= held->last_seen)
     call.wait_ms = held->wait_ms;
-  held->looking = true;
-  backend->hold (backend->userdata, &call, on_look, held);
+  held->poll_pending = true;
+  backend->hold (backend->userdata, &call, on_poll_done, held);
 }
 
 static void
-drop (struct rst_agent *agent, const char *id)
+release_instance (struct rst_agent *agent, const char *id)
 {
   struct held *held = g_hash_table_lookup (agent->held, id);
 
   if (held == NULL)
     return;
   g_hash_table_remove (agent->held, id);
-  held->dropped = true;
-  if (!held->looking)
+  held->released = true;
+  if (!held->poll_pending)
     g_free (held);
 }
 
@@ -241,10 +243,10 @@
   int64_t fence;
   int64_t last_seen;
 
-  rst_reader_copy (reader, id, sizeof id);
-  rst_reader_copy (reader, address, sizeof address);
-  fence = rst_reader_int (reader);
-  last_seen = rst_reader_int (reader);
+  rst_reader_copy_text (reader, id, sizeof id);
+  rst_reader_copy_text (reader, address, sizeof address);
+  fence = rst_reader_read_int (reader);
+  last_seen = rst_reader_read_int (reader);
   if (reader->bad)
     return;
   held = g_hash_table_lookup (agent->held, id);
@@ -252,48 +254,48 @@
       && (held->fence != fence || strcmp (held->address, address) != 0))
     {
       /* A look under the earlier token must not be taken for a new one. */
-      drop (agent, id);
+      release_instance (agent, id);
       held = NULL;
     }
   if (held == NULL)
     {
       held = g_new0 (struct held, 1);
       held->agent = agent;
-      held->wait_ms = LOOK_WAIT_MS;
+      held->wait_ms = POLL_WAIT_MAX_MS;
       g_strlcpy (held->id, id, sizeof held->id);
       g_strlcpy (held->address, address, sizeof held->address);
       g_hash_table_insert (agent->held, held->id, held);
     }
   held->fence = fence;
   held->last_seen = MAX (held->last_seen, last_seen);
-  if (!held->looking)
-    look (held, agent->config.now ());
+  if (!held->poll_pending)
+    poll_instance (held, agent->config.now ());
 }
 
 static void
-ack (struct rst_agent *agent, struct rst_reader *reader)
+handle_ack (struct rst_agent *agent, struct rst_reader *reader)
 {
   char id[RST_ID_SIZE];
   struct held *held;
   int64_t number;
   int64_t born;
 
-  rst_reader_copy (reader, id, sizeof id);
-  number = rst_reader_int (reader);
-  born = rst_reader_int (reader);
+  rst_reader_copy_text (reader, id, sizeof id);
+  number = rst_reader_read_int (reader);
+  born = rst_reader_read_int (reader);
   held = g_hash_table_lookup (agent->held, id);
   /* Another life has numbered its ends anew. */
   if (reader->bad || held == NULL || born != held->born
-      || number > held->listed)
+      || number > held->last_listed)
     return;
   held->last_seen = MAX (held->last_seen, number);
-  if (!held->looking)
-    look (held, agent->config.now ());
+  if (!held->poll_pending)
+    poll_instance (held, agent->config.now ());
 }
 
 static void
-answer_order (const struct order *order, enum rst_result result,
-              int64_t clock_ms)
+report_order_result (const struct order *order, enum rst_result result,
+                     int64_t clock_ms)
 {
   struct rst_pack pack;
 
@@ -309,17 +311,17 @@
 
 /* A failed order, or a clock that went back, may mean another life. */
 static void
-judge_life (struct held *held, const struct rst_instance_answer *answer)
+check_incarnation (struct held *held, const struct rst_instance_answer *answer)
 {
   bool answered = answer->clock_ms != 0;
 
-  if (answered && answer->clock_ms >= held->clock_ms - CLOCK_MARGIN_MS)
+  if (answered && answer->clock_ms >= held->clock_ms - CLOCK_REORDER_MARGIN_MS)
     return;
-  held->same_life = false;
+  held->same_incarnation = false;
   if (answered)
     held->clock_ms = 0;
-  if (!held->looking)
-    look (held, held->agent->config.now ());
+  if (!held->poll_pending)
+    poll_instance (held, held->agent->config.now ());
 }
 
 static void
@@ -329,9 +331,9 @@
   struct held *held = g_hash_table_lookup (order->agent->held, order->id);
 
   if (held != NULL)
-    judge_life (held, answer);
+    check_incarnation (held, answer);
 
-  answer_order (order, answer->result, answer->clock_ms);
+  report_order_result (order, answer->result, answer->clock_ms);
   rst_instance_answer_free (answer);
   g_free (order);
 }
@@ -339,14 +341,14 @@
 /* Reads which run of which instance an order is for, and aims the call at it.
    Returns what is held of the instance, or NULL. */
 static struct held *
-aim_order (struct order *order, struct rst_reader *reader,
-           struct rst_instance_call *call)
+read_order (struct order *order, struct rst_reader *reader,
+            struct rst_instance_call *call)
 {
   struct held *held;
 
-  rst_reader_copy (reader, order->id, sizeof order->id);
-  rst_reader_copy (reader, order->task, sizeof order->task);
-  order->attempt = (int)rst_reader_int (reader);
+  rst_reader_copy_text (reader, order->id, sizeof order->id);
+  rst_reader_copy_text (reader, order->task, sizeof order->task);
+  order->attempt = (int)rst_reader_read_int (reader);
   held = g_hash_table_lookup (order->agent->held, order->id);
   if (held == NULL)
     return NULL;
@@ -359,39 +361,39 @@
 }
 
 static void
-carry (struct rst_agent *agent, int kind, struct rst_reader *reader)
+forward_order (struct rst_agent *agent, int kind, struct rst_reader *reader)
 {
   const struct rst_backend *backend = agent->config.backend;
   struct order *order = g_new0 (struct order, 1);
   struct rst_instance_call call = { 0 };
   struct held *held;
   char *spec = NULL;
-  char *saved = NULL;
+  char *checkpoint = NULL;
   char *ticket = NULL;
 
   order->agent = agent;
   order->kind = kind == RST_MSG_START ? RST_MSG_STARTED : RST_MSG_STOPPED;
-  held = aim_order (order, reader, &call);
+  held = read_order (order, reader, &call);
   /* Without the instance's clock a start could carry no lease. */
   if (held == NULL || reader->bad
       || (kind == RST_MSG_START && held->clock_ms == 0))
     {
-      answer_order (order, RST_RESULT_NOT_SENT, 0);
+      report_order_result (order, RST_RESULT_NOT_SENT, 0);
       g_free (order);
       return;
     }
   if (kind == RST_MSG_START)
     {
-      call.spec = spec = rst_reader_text (reader);
-      call.checkpoint = saved = rst_reader_text (reader);
-      call.ticket = ticket = rst_reader_text (reader);
-      call.deadline_ms = deadline (held, agent->config.now ());
+      call.spec = spec = rst_reader_read_text (reader);
+      call.checkpoint = checkpoint = rst_reader_read_text (reader);
+      call.ticket = ticket = rst_reader_read_text (reader);
+      call.deadline_ms = extend_lease (held, agent->config.now ());
       backend->start (backend->userdata, &call, on_order, order);
     }
   else
     backend->stop (backend->userdata, &call, on_order, order);
   g_free (spec);
-  g_free (saved);
+  g_free (checkpoint);
   g_free (ticket);
 }
 
@@ -404,7 +406,7 @@
   if (answer->result != RST_RESULT_OK)
     rst_info (LOG_PREFIX, "Order on the pace did not succeed.", "task",
               order->task, "instance", order->id, "result",
-              rst_result_text (answer->result));
+              rst_result_name (answer->result));
   rst_instance_answer_free (answer);
   g_free (order);
 }
@@ -419,9 +421,9 @@
 
   order->agent = agent;
   order->kind = RST_MSG_PACE;
-  held = aim_order (order, reader, &call);
-  call.paces = true;
-  call.percent = (int)rst_reader_int (reader);
+  held = read_order (order, reader, &call);
+  call.has_percent = true;
+  call.percent = (int)rst_reader_read_int (reader);
   if (held == NULL || reader->bad)
     {
       g_free (order);
@@ -431,28 +433,28 @@
 }
 
 static void
-set_wait (struct rst_agent *agent, struct rst_reader *reader)
+set_poll_wait (struct rst_agent *agent, struct rst_reader *reader)
 {
   char id[RST_ID_SIZE];
   struct held *held;
   int64_t wait_ms;
 
-  rst_reader_copy (reader, id, sizeof id);
-  wait_ms = rst_reader_int (reader);
+  rst_reader_copy_text (reader, id, sizeof id);
+  wait_ms = rst_reader_read_int (reader);
   held = g_hash_table_lookup (agent->held, id);
   if (held != NULL && !reader->bad)
-    held->wait_ms = CLAMP (wait_ms, 1, LOOK_WAIT_MS);
+    held->wait_ms = CLAMP (wait_ms, 1, POLL_WAIT_MAX_MS);
 }
 
 static void
 on_advice (struct rst_advice_answer *answer, void *userdata)
 {
-  struct question *question = userdata;
+  struct advice_request *advice_request = userdata;
   struct rst_pack pack;
 
   rst_pack_init (&pack, 4);
   rst_pack_int (&pack, RST_MSG_ADVICE);
-  rst_pack_int (&pack, question->handle);
+  rst_pack_int (&pack, advice_request->handle);
   rst_pack_int (&pack, answer->result);
   rst_pack_array (&pack, answer->tickets->len);
   for (guint i = 0; i < answer->tickets->len; i++)
@@ -464,35 +466,35 @@
       rst_pack_text (&pack, ticket->id);
       rst_pack_text (&pack, ticket->ticket);
     }
-  send_pack (question->agent, &pack);
+  send_pack (advice_request->agent, &pack);
   rst_advice_answer_free (answer);
-  g_free (question);
+  g_free (advice_request);
 }
 
 static void
-ask (struct rst_agent *agent, struct rst_reader *reader)
+request_advice (struct rst_agent *agent, struct rst_reader *reader)
 {
   const struct rst_backend *backend = agent->config.backend;
-  struct question *question = g_new0 (struct question, 1);
+  struct advice_request *advice_request = g_new0 (struct advice_request, 1);
   GPtrArray *ids = g_ptr_array_new_with_free_func (g_free);
   struct rst_reader rows;
   char *step;
 
-  question->agent = agent;
-  question->handle = rst_reader_int (reader);
-  step = rst_reader_text (reader);
-  rows = rst_reader_array (reader);
+  advice_request->agent = agent;
+  advice_request->handle = rst_reader_read_int (reader);
+  step = rst_reader_read_text (reader);
+  rows = rst_reader_read_array (reader);
   for (uint32_t i = 0; i < rows.count; i++)
-    g_ptr_array_add (ids, rst_reader_text (&rows));
+    g_ptr_array_add (ids, rst_reader_read_text (&rows));
   backend->advise (backend->userdata, step, (const char *const *)ids->pdata,
-                   (int)ids->len, on_advice, question);
+                   (int)ids->len, on_advice, advice_request);
   g_ptr_array_free (ids, TRUE);
   g_free (step);
 }
 
 void
-rst_agent_message (struct rst_agent *agent, int kind,
-                   struct rst_reader *reader)
+rst_agent_handle_message (struct rst_agent *agent, int kind,
+                          struct rst_reader *reader)
 {
   char id[RST_ID_SIZE];
 
@@ -501,25 +503,25 @@
     case RST_MSG_HOLD:
       hold (agent, reader);
       break;
-    case RST_MSG_DROP:
-      rst_reader_copy (reader, id, sizeof id);
-      drop (agent, id);
+    case RST_MSG_RELEASE:
+      rst_reader_copy_text (reader, id, sizeof id);
+      release_instance (agent, id);
       break;
     case RST_MSG_START:
     case RST_MSG_STOP:
-      carry (agent, kind, reader);
+      forward_order (agent, kind, reader);
       break;
     case RST_MSG_ACK:
-      ack (agent, reader);
+      handle_ack (agent, reader);
       break;
     case RST_MSG_PACE:
       pace (agent, reader);
       break;
-    case RST_MSG_WATCH:
-      set_wait (agent, reader);
+    case RST_MSG_SET_POLL_WAIT:
+      set_poll_wait (agent, reader);
       break;
     case RST_MSG_ADVISE:
-      ask (agent, reader);
+      request_advice (agent, reader);
       break;
     default:
       rst_warning (LOG_PREFIX, "Message of an unknown kind was ignored.");
@@ -528,7 +530,7 @@
 }
 
 void
-rst_agent_alive (struct rst_agent *agent, rst_ms store_age_ms)
+rst_agent_handle_heartbeat (struct rst_agent *agent, rst_ms store_age_ms)
 {
   rst_ms confirmed = agent->config.now () - store_age_ms;
 
@@ -548,12 +550,12 @@
     {
       struct held *held = value;
 
-      if (held->looking)
+      if (held->poll_pending)
         continue;
-      if (now >= held->next_look)
-        look (held, now);
+      if (now >= held->next_poll_at)
+        poll_instance (held, now);
       else
-        wake = MIN (wake, held->next_look);
+        wake = MIN (wake, held->next_poll_at);
     }
   return wake;
 }
--- a/src/cell/agent.h
+++ b/src/cell/agent.h
@@ -20,8 +20,8 @@
  * @now: Steady time.
  * @userdata: Passed to @send.
  * @lease_ms: Length of a lease.
- * @keep_ms: How long leases are extended after the store last confirmed the
- *   planner.
+ * @unconfirmed_renewal_ms: How long leases are extended after the store last
+ * confirmed the planner.
  */
 struct rst_agent_config
 {
@@ -30,7 +30,7 @@
   rst_ms (*now) (void);
   void *userdata;
   rst_ms lease_ms;
-  rst_ms keep_ms;
+  rst_ms unconfirmed_renewal_ms;
 };
 
 /** rst_agent_create() - An agent that holds nothing. */
@@ -40,18 +40,18 @@
 void rst_agent_destroy (struct rst_agent *agent);
 
 /**
- * rst_agent_message() - A message of the planner.
+ * rst_agent_handle_message() - A message of the planner.
  * @kind: Its kind.
  * @reader: At the member behind the kind.
  */
-void rst_agent_message (struct rst_agent *agent, int kind,
-                        struct rst_reader *reader);
+void rst_agent_handle_message (struct rst_agent *agent, int kind,
+                               struct rst_reader *reader);
 
 /**
- * rst_agent_alive() - The planner was heard.
+ * rst_agent_handle_heartbeat() - The planner was heard.
  * @store_age_ms: Time since the store last confirmed it.
  */
-void rst_agent_alive (struct rst_agent *agent, rst_ms store_age_ms);
+void rst_agent_handle_heartbeat (struct rst_agent *agent, rst_ms store_age_ms);
 
 /** rst_agent_run() - Does what is due; returns when it wants to be called. */
 rst_ms rst_agent_run (struct rst_agent *agent);
--- a/src/cell/backend.c
+++ b/src/cell/backend.c
@@ -1,7 +1,7 @@
 #include "cell/backend.h"
 
 const char *
-rst_result_text (enum rst_result result)
+rst_result_name (enum rst_result result)
 {
   static const char *const names[]
       = { "ok",       "absent",     "conflict", "refused", "compacted",
@@ -14,7 +14,7 @@
 static void
 item_free (gpointer data)
 {
-  struct rst_item *item = data;
+  struct rst_store_item *item = data;
 
   g_free (item->key);
   g_free (item->value);
--- a/src/cell/backend.h
+++ b/src/cell/backend.h
@@ -31,13 +31,13 @@
  * @RST_RESULT_OK: Done.
  * @RST_RESULT_ABSENT: What it names is not there.
  * @RST_RESULT_CONFLICT: A condition did not hold; nothing was done.
- * @RST_RESULT_REFUSED: It was turned away; nothing was done.
+ * @RST_RESULT_REJECTED: It was turned away; nothing was done.
  * @RST_RESULT_COMPACTED: The history asked for is no longer kept.
  * @RST_RESULT_NOT_SENT: It never left this process.
- * @RST_RESULT_OTHER_LIFE: The instance was born anew; nothing was done.
+ * @RST_RESULT_OTHER_INCARNATION: The instance was born anew; nothing was done.
  * @RST_RESULT_FENCED: The instance has seen a higher token.
- * @RST_RESULT_OLD: The instance has seen a run as high or higher.
- * @RST_RESULT_LATE: The lease given had run out on arrival.
+ * @RST_RESULT_STALE_ATTEMPT: The instance has seen a run as high or higher.
+ * @RST_RESULT_LEASE_EXPIRED: The lease given had run out on arrival.
  * @RST_RESULT_NO_ROOM: The instance has no room.
  * @RST_RESULT_NO_TICKET: The advice ticket is missing or not valid.
  * @RST_RESULT_UNKNOWN: No usable answer; it may be done, now or later.
@@ -47,30 +47,30 @@
   RST_RESULT_OK,
   RST_RESULT_ABSENT,
   RST_RESULT_CONFLICT,
-  RST_RESULT_REFUSED,
+  RST_RESULT_REJECTED,
   RST_RESULT_COMPACTED,
   RST_RESULT_NOT_SENT,
-  RST_RESULT_OTHER_LIFE,
+  RST_RESULT_OTHER_INCARNATION,
   RST_RESULT_FENCED,
-  RST_RESULT_OLD,
-  RST_RESULT_LATE,
+  RST_RESULT_STALE_ATTEMPT,
+  RST_RESULT_LEASE_EXPIRED,
   RST_RESULT_NO_ROOM,
   RST_RESULT_NO_TICKET,
   RST_RESULT_UNKNOWN,
 };
 
-/** rst_result_text() - A short name for logs. */
-const char *rst_result_text (enum rst_result result);
+/** rst_result_name() - A short name for logs. */
+const char *rst_result_name (enum rst_result result);
 
 /**
- * struct rst_item - A key of the store.
+ * struct rst_store_item - A key of the store.
  * @key: The key.
  * @value: Its bytes, NULL when @deleted.
  * @length: Their number.
  * @revision: Revision of its last change.
  * @deleted: Whether it was removed.
  */
-struct rst_item
+struct rst_store_item
 {
   char *key;
   guint8 *value;
@@ -82,16 +82,16 @@
 /**
  * struct rst_store_answer - What the store said.
  * @result: How the call ended.
- * @items: struct rst_item, in the store's order.
+ * @items: struct rst_store_item, in the store's order.
  * @revision: The store's revision; of a transaction, that of its changes.
- * @more: Whether a further page follows the last item.
+ * @has_more: Whether a further page follows the last item.
  */
 struct rst_store_answer
 {
   enum rst_result result;
   GPtrArray *items;
   int64_t revision;
-  bool more;
+  bool has_more;
 };
 
 /** rst_store_answer_new() - An empty answer. */
@@ -122,8 +122,8 @@
  * @number: Number of its end; 0 while it runs.
  * @task: The task's name.
  * @attempt: The run's number.
- * @how: How it ended; a value of enum rst_end.
- * @saved: Last checkpoint, or "".
+ * @end_reason: How it ended; a value of enum rst_end.
+ * @checkpoint: Last checkpoint, or "".
  * @percent: Progress while it runs.
  * @usage: Over the last half second while it runs: response time of a run
  *   that serves, in milliseconds; processors of any other, in thousandths.
@@ -133,8 +133,8 @@
   int64_t number;
   char task[RST_TASK_NAME_SIZE];
   int attempt;
-  int how;
-  char saved[RST_TOKEN_SIZE];
+  int end_reason;
+  char checkpoint[RST_TOKEN_SIZE];
   int percent;
   int64_t usage;
 };
@@ -144,18 +144,18 @@
  * @RST_END_DONE: Its work is complete.
  * @RST_END_FAILED: It failed.
  * @RST_END_STOPPED: It was stopped.
- * @RST_END_LAPSED: Its lease ran out.
- * @RST_END_BROKEN: Another member of its gang ended.
- * @RST_END_ALONE: The other members of its gang did not come.
+ * @RST_END_LEASE_EXPIRED: Its lease ran out.
+ * @RST_END_GANG_BROKEN: Another member of its gang ended.
+ * @RST_END_GANG_INCOMPLETE: The other members of its gang did not come.
  */
 enum rst_end
 {
   RST_END_DONE,
   RST_END_FAILED,
   RST_END_STOPPED,
-  RST_END_LAPSED,
-  RST_END_BROKEN,
-  RST_END_ALONE,
+  RST_END_LEASE_EXPIRED,
+  RST_END_GANG_BROKEN,
+  RST_END_GANG_INCOMPLETE,
 };
 
 /**
@@ -192,7 +192,7 @@
  * @deadline_ms: End of the lease on the instance's clock; 0 to leave it.
  * @last_seen: Ends up to this number are stored and may be forgotten.
  * @wait_ms: How long a look may wait for an end.
- * @paces: Whether @percent is meant.
+ * @has_percent: Whether @percent is meant.
  * @percent: The share of its full pace at which a run may work.
  */
 struct rst_instance_call
@@ -208,7 +208,7 @@
   int64_t deadline_ms;
   int64_t last_seen;
   int64_t wait_ms;
-  bool paces;
+  bool has_percent;
   int percent;
 };
 
--- a/src/cell/cellconfig.c
+++ b/src/cell/cellconfig.c
@@ -81,7 +81,8 @@
 }
 
 const struct rst_queue *
-rst_cellconfig_queue (const struct rst_cellconfig *config, const char *name)
+rst_cellconfig_find_queue (const struct rst_cellconfig *config,
+                           const char *name)
 {
   for (guint i = 0; i < config->queues->len; i++)
     {
--- a/src/cell/cellconfig.h
+++ b/src/cell/cellconfig.h
@@ -17,13 +17,14 @@
  * @prefix: Path prefix that selects it.
  * @pool: Name of the pool of instances that run its tasks.
  * @priority: 0 comes first.
- * @attempts: Failed runs of one task after which the job has failed.
+ * @max_failures: Failed runs of one task after which the job has failed.
  * @slack: Objective as a multiple of the job's chain of work, in thousandths.
  * @target_ms: Added to the objective.
- * @is_open: No key is needed.
- * @advised: Only instances named by the advice service may run a step.
+ * @is_public: No key is needed.
+ * @needs_approval: Only instances named by the advice service may run a step.
  * @advice_ms: Time of one call for advice.
- * @advice_each_us: Further time for each instance named, in microseconds.
+ * @advice_per_instance_us: Further time for each instance named, in
+ * microseconds.
  * @advice_valid_ms: How long a ticket is valid.
  */
 struct rst_queue
@@ -33,13 +34,13 @@
   char *prefix;
   char *pool;
   int priority;
-  int attempts;
+  int max_failures;
   int64_t slack;
   int64_t target_ms;
-  bool is_open;
-  bool advised;
+  bool is_public;
+  bool needs_approval;
   int64_t advice_ms;
-  int64_t advice_each_us;
+  int64_t advice_per_instance_us;
   int64_t advice_valid_ms;
 };
 
@@ -53,7 +54,7 @@
 {
   char *name;
   int64_t weight;
-  struct rst_need limit;
+  struct rst_resources limit;
 };
 
 /**
@@ -87,9 +88,11 @@
 rst_cellconfig_route (const struct rst_cellconfig *config, const char *host,
                       const char *path, const char **rest);
 
-/** rst_cellconfig_queue() - Finds a queue by its name, or returns NULL. */
+/** rst_cellconfig_find_queue() - Finds a queue by its name, or returns NULL.
+ */
 const struct rst_queue *
-rst_cellconfig_queue (const struct rst_cellconfig *config, const char *name);
+rst_cellconfig_find_queue (const struct rst_cellconfig *config,
+                           const char *name);
 
 /**
  * struct rst_instance_entry - How an instance registered.
@@ -99,7 +102,7 @@
  * @pool: The pool that it belongs to.
  * @labels: Its labels.
  * @rack: Its rack, one of the labels, or "".
- * @room: All that it has.
+ * @capacity: All that it has.
  * @draining: It leaves and takes no new work.
  * @born: Unix time of its start; 0 when it did not say.
  */
@@ -111,7 +114,7 @@
   char pool[RST_ID_SIZE];
   char labels[256];
   char rack[RST_ID_SIZE];
-  struct rst_need room;
+  struct rst_resources capacity;
   bool draining;
   int64_t born;
 };
--- a/src/cell/jobdesc.c
+++ b/src/cell/jobdesc.c
@@ -9,27 +9,28 @@
 enum step_flag
 {
   FLAG_GANG = 1,
-  FLAG_ONE_RACK = 2,
-  FLAG_SAVES = 4,
-  FLAG_COPIES = 8,
-  FLAG_LASTING = 16,
-  FLAG_FILLS = 32,
+  FLAG_PREFERS_ONE_RACK = 2,
+  FLAG_HAS_CHECKPOINTS = 4,
+  FLAG_SPECULATIVE = 8,
+  FLAG_LONG_RUNNING = 16,
+  FLAG_BEST_EFFORT = 32,
 };
 
 void
-rst_need_add (struct rst_need *sum, const struct rst_need *need, int64_t times)
+rst_resources_add (struct rst_resources *sum, const struct rst_resources *need,
+                   int64_t times)
 {
   sum->cpu += times * need->cpu;
   sum->memory += times * need->memory;
   sum->gpu += times * need->gpu;
 }
 
-struct rst_need
-rst_step_need (const struct rst_step *step)
+struct rst_resources
+rst_step_get_task_need (const struct rst_step *step)
 {
-  struct rst_need need = step->need;
+  struct rst_resources need = step->need;
 
-  if (step->fills)
+  if (step->best_effort)
     need.cpu = 0;
   return need;
 }
@@ -77,7 +78,7 @@
 const char *
 rst_jobdesc_check (const struct rst_jobdesc *desc)
 {
-  if (desc->spec == NULL || strlen (desc->spec) > RST_SPEC_MAX)
+  if (desc->spec == NULL || strlen (desc->spec) > RST_SPEC_BYTES_MAX)
     return "spec: must be text of up to 4000 bytes";
   if (desc->step_count < 1 || desc->step_count > RST_STEPS_MAX)
     return "phases: must have from 1 to 64 steps";
@@ -96,9 +97,12 @@
 static int
 step_flags (const struct rst_step *step)
 {
-  return (step->gang ? FLAG_GANG : 0) | (step->one_rack ? FLAG_ONE_RACK : 0)
-         | (step->saves ? FLAG_SAVES : 0) | (step->copies ? FLAG_COPIES : 0)
-         | (step->lasting ? FLAG_LASTING : 0) | (step->fills ? FLAG_FILLS : 0);
+  return (step->gang ? FLAG_GANG : 0)
+         | (step->prefers_one_rack ? FLAG_PREFERS_ONE_RACK : 0)
+         | (step->has_checkpoints ? FLAG_HAS_CHECKPOINTS : 0)
+         | (step->speculative ? FLAG_SPECULATIVE : 0)
+         | (step->long_running ? FLAG_LONG_RUNNING : 0)
+         | (step->best_effort ? FLAG_BEST_EFFORT : 0);
 }
 
 static void
@@ -111,8 +115,8 @@
   rst_pack_int (pack, step->need.gpu);
   rst_pack_int (pack, step->estimate_ms);
   rst_pack_int (pack, step_flags (step));
-  rst_pack_int (pack, step->per_instance);
-  rst_pack_int (pack, step->may_miss);
+  rst_pack_int (pack, step->max_per_instance);
+  rst_pack_int (pack, step->max_unavailable);
   rst_pack_int (pack, step->target_ms);
   rst_pack_text (pack, step->label);
   rst_pack_text (pack, step->rack);
@@ -139,49 +143,49 @@
 static void
 read_step (struct rst_reader *reader, struct rst_step *step)
 {
-  struct rst_reader in = rst_reader_array (reader);
+  struct rst_reader in = rst_reader_read_array (reader);
   struct rst_reader after;
   int flags;
 
-  step->count = (int)rst_reader_int (&in);
-  step->need.cpu = rst_reader_int (&in);
-  step->need.memory = rst_reader_int (&in);
-  step->need.gpu = rst_reader_int (&in);
-  step->estimate_ms = rst_reader_int (&in);
-  flags = (int)rst_reader_int (&in);
+  step->count = (int)rst_reader_read_int (&in);
+  step->need.cpu = rst_reader_read_int (&in);
+  step->need.memory = rst_reader_read_int (&in);
+  step->need.gpu = rst_reader_read_int (&in);
+  step->estimate_ms = rst_reader_read_int (&in);
+  flags = (int)rst_reader_read_int (&in);
   step->gang = flags & FLAG_GANG;
-  step->one_rack = flags & FLAG_ONE_RACK;
-  step->saves = flags & FLAG_SAVES;
-  step->copies = flags & FLAG_COPIES;
-  step->lasting = flags & FLAG_LASTING;
-  step->fills = flags & FLAG_FILLS;
-  step->per_instance = (int)rst_reader_int (&in);
-  step->may_miss = (int)rst_reader_int (&in);
-  step->target_ms = rst_reader_int (&in);
-  step->label = rst_reader_text (&in);
-  step->rack = rst_reader_text (&in);
-  step->image = rst_reader_text (&in);
-  rst_reader_int (&in);
-  after = rst_reader_array (&in);
+  step->prefers_one_rack = flags & FLAG_PREFERS_ONE_RACK;
+  step->has_checkpoints = flags & FLAG_HAS_CHECKPOINTS;
+  step->speculative = flags & FLAG_SPECULATIVE;
+  step->long_running = flags & FLAG_LONG_RUNNING;
+  step->best_effort = flags & FLAG_BEST_EFFORT;
+  step->max_per_instance = (int)rst_reader_read_int (&in);
+  step->max_unavailable = (int)rst_reader_read_int (&in);
+  step->target_ms = rst_reader_read_int (&in);
+  step->label = rst_reader_read_text (&in);
+  step->rack = rst_reader_read_text (&in);
+  step->image = rst_reader_read_text (&in);
+  rst_reader_read_int (&in);
+  after = rst_reader_read_array (&in);
   step->after_count = (int)after.count;
   step->after = g_new0 (int, after.count);
   for (uint32_t i = 0; i < after.count; i++)
-    step->after[i] = (int)rst_reader_int (&after);
+    step->after[i] = (int)rst_reader_read_int (&after);
   reader->bad |= in.bad || after.bad;
 }
 
 struct rst_jobdesc *
 rst_jobdesc_read (struct rst_reader *reader)
 {
-  struct rst_reader in = rst_reader_array (reader);
+  struct rst_reader in = rst_reader_read_array (reader);
   struct rst_jobdesc *desc;
   struct rst_reader steps;
-  char *spec = rst_reader_text (&in);
-  int64_t repeats = rst_reader_int (&in);
-  int64_t start_at_ms = rst_reader_int (&in);
-  int64_t period_ms = rst_reader_int (&in);
+  char *spec = rst_reader_read_text (&in);
+  int64_t repeats = rst_reader_read_int (&in);
+  int64_t start_at_ms = rst_reader_read_int (&in);
+  int64_t period_ms = rst_reader_read_int (&in);
 
-  steps = rst_reader_array (&in);
+  steps = rst_reader_read_array (&in);
   if (in.bad || steps.count > RST_STEPS_MAX)
     steps.count = 0;
   desc = rst_jobdesc_create ((int)steps.count);
--- a/src/cell/jobdesc.h
+++ b/src/cell/jobdesc.h
@@ -20,15 +20,15 @@
 #define RST_TASKS_MAX 10000
 
 /** Bound on the text handed to a job's tasks, in bytes. */
-#define RST_SPEC_MAX 4000
+#define RST_SPEC_BYTES_MAX 4000
 
 /**
- * struct rst_need - Processors, memory and accelerators.
+ * struct rst_resources - Processors, memory and accelerators.
  * @cpu: Thousandths of a core.
  * @memory: MiB.
  * @gpu: Accelerators.
  */
-struct rst_need
+struct rst_resources
 {
   int64_t cpu;
   int64_t memory;
@@ -43,13 +43,14 @@
  * @after: Numbers of the steps that must be done first.
  * @after_count: Their number.
  * @gang: All tasks run together or none.
- * @one_rack: The tasks are faster on a single rack.
- * @saves: A task saves its progress.
- * @copies: Several runs of a task may go on at once.
- * @lasting: The tasks run until the job is cancelled.
- * @fills: The step's processors are not counted.
- * @per_instance: Bound on its tasks on one instance; 0 for none.
- * @may_miss: Tasks that orders may make unavailable at once; 0 for none.
+ * @prefers_one_rack: The tasks are faster on a single rack.
+ * @has_checkpoints: A task saves its progress.
+ * @speculative: Several runs of a task may go on at once.
+ * @long_running: The tasks run until the job is cancelled.
+ * @best_effort: The step's processors are not counted.
+ * @max_per_instance: Bound on its tasks on one instance; 0 for none.
+ * @max_unavailable: Tasks that orders may make unavailable at once; 0 for
+ * none.
  * @target_ms: Bound on the response times of lasting tasks; 0 for none.
  * @label: Label that an instance must have, or "".
  * @rack: Rack of the data, or "".
@@ -58,18 +59,18 @@
 struct rst_step
 {
   int count;
-  struct rst_need need;
+  struct rst_resources need;
   int64_t estimate_ms;
   int *after;
   int after_count;
   bool gang;
-  bool one_rack;
-  bool saves;
-  bool copies;
-  bool lasting;
-  bool fills;
-  int per_instance;
-  int may_miss;
+  bool prefers_one_rack;
+  bool has_checkpoints;
+  bool speculative;
+  bool long_running;
+  bool best_effort;
+  int max_per_instance;
+  int max_unavailable;
   int64_t target_ms;
   char *label;
   char *rack;
@@ -95,12 +96,13 @@
   int64_t period_ms;
 };
 
-/** rst_need_add() - Adds @need to @sum, @times times; may be negative. */
-void rst_need_add (struct rst_need *sum, const struct rst_need *need,
-                   int64_t times);
+/** rst_resources_add() - Adds @need to @sum, @times times; may be negative. */
+void rst_resources_add (struct rst_resources *sum,
+                        const struct rst_resources *need, int64_t times);
 
-/** rst_step_need() - What a task of the step takes of an instance's room. */
-struct rst_need rst_step_need (const struct rst_step *step);
+/** rst_step_get_task_need() - What a task of the step takes of an instance's
+ * room. */
+struct rst_resources rst_step_get_task_need (const struct rst_step *step);
 
 /** rst_jobdesc_create() - An empty description with @steps steps. */
 struct rst_jobdesc *rst_jobdesc_create (int steps);
--- a/src/cell/messages.h
+++ b/src/cell/messages.h
@@ -8,19 +8,20 @@
 #define RST_MESSAGES_H
 
 /**
- * enum rst_message_to - Kinds of messages.
+ * enum rst_msg_kind - Kinds of messages.
  * @RST_MSG_HELLO: role, name, zone; first on each link.
  * @RST_MSG_WELCOME: epoch, serving (0 or 1); answers a hello and follows
  *   each change.
- * @RST_MSG_MOVED: epoch, address; another process is the planner now.
+ * @RST_MSG_REDIRECT: epoch, address; another process is the planner now.
  * @RST_MSG_HOLD: id, address, fence, last seen; begin to hold an instance.
- * @RST_MSG_DROP: id; another agent holds it now.
+ * @RST_MSG_RELEASE: id; another agent holds it now.
  * @RST_MSG_START: id, task, attempt, spec, checkpoint, ticket.
  * @RST_MSG_STOP: id, task, attempt.
  * @RST_MSG_ACK: id, number of the last stored end, birth of the life that
  *   numbered it.
  * @RST_MSG_PACE: id, task, attempt, hundredths; how fast a run may work.
- * @RST_MSG_WATCH: id, milliseconds; how long looks may wait for an end.
+ * @RST_MSG_SET_POLL_WAIT: id, milliseconds; how long looks may wait for an
+ * end.
  * @RST_MSG_ADVISE: handle, step, ids.
  * @RST_MSG_REPORT: id, result, clock, birth, lease left, fence, runs.
  * @RST_MSG_STARTED: id, task, attempt, result, clock.
@@ -28,15 +29,15 @@
  * @RST_MSG_ADVICE: handle, result, rows of id and ticket.
  * @RST_MSG_CALL: number, operation, host, path, key, description.
  * @RST_MSG_REPLY: number, outcome, state, count, seconds to wait.
- * @RST_MSG_ALIVE: milliseconds since the store last confirmed the planner.
+ * @RST_MSG_HEARTBEAT: milliseconds since the store last confirmed the planner.
  */
-enum rst_message_to
+enum rst_msg_kind
 {
   RST_MSG_HELLO = 1,
   RST_MSG_WELCOME,
-  RST_MSG_MOVED,
+  RST_MSG_REDIRECT,
   RST_MSG_HOLD,
-  RST_MSG_DROP,
+  RST_MSG_RELEASE,
   RST_MSG_START,
   RST_MSG_STOP,
   RST_MSG_ACK,
@@ -47,9 +48,9 @@
   RST_MSG_ADVICE,
   RST_MSG_CALL,
   RST_MSG_REPLY,
-  RST_MSG_ALIVE,
+  RST_MSG_HEARTBEAT,
   RST_MSG_PACE,
-  RST_MSG_WATCH,
+  RST_MSG_SET_POLL_WAIT,
 };
 
 /**
@@ -82,10 +83,10 @@
  * @RST_OUTCOME_STATE: The state of a job.
  * @RST_OUTCOME_COUNT: A queue's waiting jobs.
  * @RST_OUTCOME_NO_QUEUE: No such queue.
- * @RST_OUTCOME_NO_KEY: The key is unknown.
+ * @RST_OUTCOME_INVALID_KEY: The key is unknown.
  * @RST_OUTCOME_NO_JOB: No such job.
- * @RST_OUTCOME_BAD: The request is malformed.
- * @RST_OUTCOME_REFUSED: Not accepted, and never will run.
+ * @RST_OUTCOME_MALFORMED: The request is malformed.
+ * @RST_OUTCOME_REJECTED: Not accepted, and never will run.
  * @RST_OUTCOME_UNKNOWN: It may or may not have been accepted.
  */
 enum rst_outcome
@@ -94,10 +95,10 @@
   RST_OUTCOME_STATE,
   RST_OUTCOME_COUNT,
   RST_OUTCOME_NO_QUEUE,
-  RST_OUTCOME_NO_KEY,
+  RST_OUTCOME_INVALID_KEY,
   RST_OUTCOME_NO_JOB,
-  RST_OUTCOME_BAD,
-  RST_OUTCOME_REFUSED,
+  RST_OUTCOME_MALFORMED,
+  RST_OUTCOME_REJECTED,
   RST_OUTCOME_UNKNOWN,
 };
 
--- a/src/cell/pace.c
+++ b/src/cell/pace.c
@@ -4,25 +4,25 @@
 
 /** From this load on, in hundredths of the bound, filling tasks stand still:
     a serving task beyond its bound costs more than what they get done. */
-#define LOAD_OVER 100
+#define LOAD_STOP_PERCENT 100
 
 /** From this load on filling tasks are slowed. */
-#define LOAD_HIGH 80
+#define LOAD_SLOW_PERCENT 80
 
 /** Below this load they may work faster again. */
-#define LOAD_LOW 60
+#define LOAD_RECOVER_PERCENT 60
 
 /** Step up while the load is low, in hundredths; a full return takes ten. */
-#define PACE_UP 10
+#define PACE_STEP_UP_PERCENT 10
 
 int
-rst_pace_next (int pace, int64_t load)
+rst_pace_adjust (int pace, int64_t load)
 {
-  if (load >= LOAD_OVER)
+  if (load >= LOAD_STOP_PERCENT)
     return 0;
-  if (load >= LOAD_HIGH)
+  if (load >= LOAD_SLOW_PERCENT)
     return pace / 2;
-  if (load < LOAD_LOW)
-    return MIN (pace + PACE_UP, RST_PACE_FULL);
+  if (load < LOAD_RECOVER_PERCENT)
+    return MIN (pace + PACE_STEP_UP_PERCENT, RST_PACE_FULL_PERCENT);
   return pace;
 }
--- a/src/cell/pace.h
+++ b/src/cell/pace.h
@@ -10,20 +10,20 @@
 #include "rosemarystile.h"
 
 /** Pace of a task at its start, in hundredths. */
-#define RST_PACE_FULL 100
+#define RST_PACE_FULL_PERCENT 100
 
 /** Least time between two changes of a pace, in milliseconds: the figure for
     response times covers half a second. */
-#define RST_PACE_EVERY_MS 500
+#define RST_PACE_INTERVAL_MS 500
 
 /**
- * rst_pace_next() - The next pace of the filling tasks of an instance.
+ * rst_pace_adjust() - The next pace of the filling tasks of an instance.
  * @pace: The present one, in hundredths.
  * @load: The worst response time of its serving tasks, as hundredths of its
  *   bound.
  *
- * Return: The next pace, 0 to RST_PACE_FULL.
+ * Return: The next pace, 0 to RST_PACE_FULL_PERCENT.
  */
-int rst_pace_next (int pace, int64_t load);
+int rst_pace_adjust (int pace, int64_t load);
 
 #endif
--- a/src/cell/pack.c
+++ b/src/cell/pack.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 void
-rst_pack_open (struct rst_pack *pack)
+rst_pack_init_sequence (struct rst_pack *pack)
 {
   msgpack_sbuffer_init (&pack->buffer);
   msgpack_packer_init (&pack->packer, &pack->buffer, msgpack_sbuffer_write);
@@ -12,12 +12,12 @@
 void
 rst_pack_init (struct rst_pack *pack, size_t count)
 {
-  rst_pack_open (pack);
+  rst_pack_init_sequence (pack);
   msgpack_pack_array (&pack->packer, count);
 }
 
 void
-rst_pack_join (struct rst_pack *pack, const struct rst_pack *sequence)
+rst_pack_append (struct rst_pack *pack, const struct rst_pack *sequence)
 {
   msgpack_sbuffer_write (&pack->buffer, sequence->buffer.data,
                          sequence->buffer.size);
@@ -77,14 +77,14 @@
 static const msgpack_object *
 next_item (struct rst_reader *reader)
 {
-  if (reader->at < reader->count)
-    return &reader->items[reader->at++];
+  if (reader->position < reader->count)
+    return &reader->items[reader->position++];
   reader->bad = true;
   return NULL;
 }
 
 int64_t
-rst_reader_int (struct rst_reader *reader)
+rst_reader_read_int (struct rst_reader *reader)
 {
   const msgpack_object *item = next_item (reader);
 
@@ -97,7 +97,7 @@
 }
 
 char *
-rst_reader_text (struct rst_reader *reader)
+rst_reader_read_text (struct rst_reader *reader)
 {
   const msgpack_object *item = next_item (reader);
 
@@ -108,7 +108,7 @@
 }
 
 void
-rst_reader_copy (struct rst_reader *reader, char *out, size_t size)
+rst_reader_copy_text (struct rst_reader *reader, char *out, size_t size)
 {
   const msgpack_object *item = next_item (reader);
 
@@ -125,7 +125,7 @@
 }
 
 const void *
-rst_reader_bytes (struct rst_reader *reader, size_t *length)
+rst_reader_read_bytes (struct rst_reader *reader, size_t *length)
 {
   const msgpack_object *item = next_item (reader);
 
@@ -140,7 +140,7 @@
 }
 
 struct rst_reader
-rst_reader_array (struct rst_reader *reader)
+rst_reader_read_array (struct rst_reader *reader)
 {
   const msgpack_object *item = next_item (reader);
   struct rst_reader inner = { 0 };
--- a/src/cell/pack.h
+++ b/src/cell/pack.h
@@ -28,11 +28,12 @@
 /** rst_pack_init() - Begins a message whose top is an array of @count. */
 void rst_pack_init (struct rst_pack *pack, size_t count);
 
-/** rst_pack_open() - Begins a sequence that is no message by itself. */
-void rst_pack_open (struct rst_pack *pack);
+/** rst_pack_init_sequence() - Begins a sequence that is no message by itself.
+ */
+void rst_pack_init_sequence (struct rst_pack *pack);
 
-/** rst_pack_join() - Writes the members of a sequence behind the others. */
-void rst_pack_join (struct rst_pack *pack, const struct rst_pack *sequence);
+/** rst_pack_append() - Writes the members of a sequence behind the others. */
+void rst_pack_append (struct rst_pack *pack, const struct rst_pack *sequence);
 
 /** rst_pack_clear() - Frees a message's bytes. */
 void rst_pack_clear (struct rst_pack *pack);
@@ -53,14 +54,14 @@
  * struct rst_reader - A walk over the members of an array.
  * @items: The members.
  * @count: Their number.
- * @at: The next member.
+ * @position: The next member.
  * @bad: Whether a member was missing or of another type.
  */
 struct rst_reader
 {
   const msgpack_object *items;
   uint32_t count;
-  uint32_t at;
+  uint32_t position;
   bool bad;
 };
 
@@ -74,19 +75,19 @@
 bool rst_reader_open (struct rst_reader *reader, msgpack_unpacked *unpacked,
                       const void *data, size_t length);
 
-/** rst_reader_int() - Reads a whole number; 0 on a mismatch. */
-int64_t rst_reader_int (struct rst_reader *reader);
+/** rst_reader_read_int() - Reads a whole number; 0 on a mismatch. */
+int64_t rst_reader_read_int (struct rst_reader *reader);
 
-/** rst_reader_text() - Reads text into new memory; "" on a mismatch. */
-char *rst_reader_text (struct rst_reader *reader);
+/** rst_reader_read_text() - Reads text into new memory; "" on a mismatch. */
+char *rst_reader_read_text (struct rst_reader *reader);
 
-/** rst_reader_copy() - Reads text into an array of @size chars. */
-void rst_reader_copy (struct rst_reader *reader, char *out, size_t size);
+/** rst_reader_copy_text() - Reads text into an array of @size chars. */
+void rst_reader_copy_text (struct rst_reader *reader, char *out, size_t size);
 
-/** rst_reader_bytes() - Reads bytes, owned by the decoded objects. */
-const void *rst_reader_bytes (struct rst_reader *reader, size_t *length);
+/** rst_reader_read_bytes() - Reads bytes, owned by the decoded objects. */
+const void *rst_reader_read_bytes (struct rst_reader *reader, size_t *length);
 
-/** rst_reader_array() - Reads an array; an empty one on a mismatch. */
-struct rst_reader rst_reader_array (struct rst_reader *reader);
+/** rst_reader_read_array() - Reads an array; an empty one on a mismatch. */
+struct rst_reader rst_reader_read_array (struct rst_reader *reader);
 
 #endif
--- a/src/cell/plan_advice.c
+++ b/src/cell/plan_advice.c
@@ -5,44 +5,44 @@
 #include "cell/planner_private.h"
 
 /** Calls longer than this are kept off some agents, in milliseconds. */
-#define LONG_CALL_MS 60
+#define LONG_REQUEST_MS 60
 
 /** A short call may queue behind this many others at its agent. */
-#define SHORT_QUEUE_MAX 2
+#define QUEUED_REQUESTS_MAX 2
 
 /** Least and largest number of instances named in one call. */
-#define NAMED_MIN 3
-#define NAMED_MAX 48
+#define REQUEST_INSTANCES_MIN 3
+#define REQUEST_INSTANCES_MAX 48
 
 /** Least and largest number of instances named in the first call of a gang.
     The users' objective counts a call on 30 for each step; a second call costs
     a gang more than the longer first one. */
-#define FIRST_MIN 30
-#define FIRST_MAX 36
+#define FIRST_GANG_REQUEST_INSTANCES_MIN 30
+#define FIRST_GANG_REQUEST_INSTANCES_MAX 36
 
 /** Calls up to this long keep room on the instances that they name. */
-#define KEEP_CALL_MS 200
+#define RESERVING_REQUEST_MAX_MS 200
 
 /** Share of the agents that may make long calls at once, in hundredths. */
-#define LONG_SHARE 70
+#define LONG_REQUEST_AGENTS_PERCENT 70
 
 /** Places asked for, as a multiple of those needed. */
-#define PLACES_FACTOR 1.3
+#define REQUESTED_SLOTS_FACTOR 1.3
 
 /** Weight of a new answer in the learned share of approvals. */
-#define APPROVAL_WEIGHT 0.1
+#define APPROVAL_RATE_WEIGHT 0.1
 
 /** Time left that a ticket must have to be used, in milliseconds. */
 #define TICKET_MARGIN_MS 60
 
 /** Pause before a step asks again after an answer brought it nothing. */
-#define ASK_AGAIN_MS 20
+#define REQUEST_PAUSE_MS 20
 
 /** Pause after a call that failed, in milliseconds. */
-#define ASK_FAILED_MS 100
+#define FAILED_REQUEST_PAUSE_MS 100
 
 void
-rst_plan_ask_free (gpointer data)
+rst_plan_advice_request_free (gpointer data)
 {
   struct ask *ask = data;
 
@@ -51,16 +51,16 @@
 }
 
 const char *
-rst_plan_ticket (const struct rst_planner *planner, const struct step *step,
-                 const struct instance *instance)
+rst_plan_find_ticket (const struct rst_planner *planner,
+                      const struct step *step, const struct instance *instance)
 {
   struct leave *leave;
 
-  if (!step->occurrence->job->queue->set.advised)
+  if (!step->occurrence->job->queue->settings.needs_approval)
     return "";
   leave = g_hash_table_lookup (step->leaves, instance->entry.id);
-  if (leave == NULL || leave->denied || leave->born != instance->born
-      || leave->expires <= planner->now)
+  if (leave == NULL || leave->rejected || leave->born != instance->born
+      || leave->expires_at <= planner->now)
     return NULL;
   return leave->ticket;
 }
@@ -74,7 +74,7 @@
 };
 
 static gint
-by_score (gconstpointer a, gconstpointer b)
+compare_scores (gconstpointer a, gconstpointer b)
 {
   double left = ((const struct candidate *)a)->score;
   double right = ((const struct candidate *)b)->score;
@@ -86,7 +86,7 @@
    room now, and for the first call of a gang all, since what may run where
    doesn't change and its room may come later. */
 static GArray *
-candidates (struct rst_planner *planner, const struct step *step)
+find_request_candidates (struct rst_planner *planner, const struct step *step)
 {
   GArray *found = g_array_new (FALSE, FALSE, sizeof (struct candidate));
   double approval = step->occurrence->job->queue->approval;
@@ -98,31 +98,31 @@
       struct candidate candidate = { instance, 0, approval, 0.0 };
       struct leave *leave;
 
-      candidate.slots = rst_plan_slots (instance, step);
-      if (candidate.slots == 0 && (!gang || step->asked))
+      candidate.slots = rst_plan_count_slots (instance, step);
+      if (candidate.slots == 0 && (!gang || step->advice_requested))
         continue;
       leave = g_hash_table_lookup (step->leaves, instance->entry.id);
-      if ((leave != NULL && leave->denied)
-          || !rst_plan_allowed (instance, step))
+      if ((leave != NULL && leave->rejected)
+          || !rst_plan_instance_is_eligible (instance, step))
         continue;
       if (leave != NULL)
         candidate.chance = 1.0;
       /* A gang needs many places; single tasks take the tightest fit. */
       candidate.score
           = gang ? -candidate.slots * candidate.chance
-                 : (double)(instance->entry.room.cpu - instance->used.cpu)
+                 : (double)(instance->entry.capacity.cpu - instance->used.cpu)
                        - 100000.0 * (candidate.chance >= 1.0);
       candidate.score += 4000.0 * MIN (instance->failures, 4);
       g_array_append_val (found, candidate);
     }
-  g_array_sort (found, by_score);
+  g_array_sort (found, compare_scores);
   return found;
 }
 
 /* Whether all candidates together are likely to hold a gang.  One call may
    name too few for that: what it approves stays valid for the next. */
 static bool
-may_hold (const GArray *found, int tasks)
+may_hold_gang (const GArray *found, int tasks)
 {
   double expected = 0.0;
 
@@ -137,14 +137,17 @@
 
 /* How many of the first candidates to name, or 0 when there is no point. */
 static int
-count_named (const GArray *found, const struct step *step, int tasks)
+count_instances_to_name (const GArray *found, const struct step *step,
+                         int tasks)
 {
   double expected = 0.0;
-  double wanted = tasks * PLACES_FACTOR;
+  double wanted = tasks * REQUESTED_SLOTS_FACTOR;
   int named = 0;
-  bool first = step->spec->gang && !step->asked;
-  int named_min = first ? FIRST_MIN : NAMED_MIN;
-  int named_max = first ? FIRST_MAX : NAMED_MAX;
+  bool first = step->spec->gang && !step->advice_requested;
+  int named_min
+      = first ? FIRST_GANG_REQUEST_INSTANCES_MIN : REQUEST_INSTANCES_MIN;
+  int named_max
+      = first ? FIRST_GANG_REQUEST_INSTANCES_MAX : REQUEST_INSTANCES_MAX;
 
   for (guint i = 0; i < found->len && named < named_max; i++)
     {
@@ -155,7 +158,8 @@
       expected += candidate.slots * candidate.chance;
       named++;
     }
-  if (step->spec->gang && step->asked && !may_hold (found, tasks))
+  if (step->spec->gang && step->advice_requested
+      && !may_hold_gang (found, tasks))
     return 0;
   return named;
 }
@@ -165,30 +169,33 @@
 choose_agent (struct rst_planner *planner, int64_t cost_ms)
 {
   struct agent *best = NULL;
-  guint long_calls = 0;
+  guint long_requests = 0;
 
   for (guint i = 0; i < planner->agents->len; i++)
     {
       struct agent *agent = g_ptr_array_index (planner->agents, i);
 
-      if (agent->asking > 0 && agent->busy_until - planner->now > LONG_CALL_MS)
-        long_calls++;
-      if (cost_ms > LONG_CALL_MS ? agent->asking > 0
-                                 : agent->asking > SHORT_QUEUE_MAX)
+      if (agent->open_requests > 0
+          && agent->busy_until - planner->now > LONG_REQUEST_MS)
+        long_requests++;
+      if (cost_ms > LONG_REQUEST_MS
+              ? agent->open_requests > 0
+              : agent->open_requests > QUEUED_REQUESTS_MAX)
         continue;
       if (best == NULL
           || MAX (agent->busy_until, planner->now)
                  < MAX (best->busy_until, planner->now))
         best = agent;
     }
-  if (cost_ms > LONG_CALL_MS
-      && (long_calls + 1) * 100 > MAX (planner->agents->len * LONG_SHARE, 100))
+  if (cost_ms > LONG_REQUEST_MS
+      && (long_requests + 1) * 100
+             > MAX (planner->agents->len * LONG_REQUEST_AGENTS_PERCENT, 100))
     return NULL;
   return best;
 }
 
 static void
-ask_name (const struct ask *ask, char *out, size_t size)
+format_step_name (const struct ask *ask, char *out, size_t size)
 {
   g_snprintf (out, size, "%s.%" PRId64 ".%d", ask->id, ask->occurrence,
               ask->step);
@@ -196,8 +203,8 @@
 
 /* One line a call: which step, over how many instances, with what outcome. */
 static void
-log_ask (const struct ask *ask, const char *sentence, int64_t took_ms,
-         int approved)
+log_request (const struct ask *ask, const char *sentence, int64_t took_ms,
+             int approved)
 {
   char name[RST_TASK_NAME_SIZE];
   char named[16];
@@ -206,7 +213,7 @@
 
   if (!rst_log_enabled (G_LOG_LEVEL_INFO))
     return;
-  ask_name (ask, name, sizeof name);
+  format_step_name (ask, name, sizeof name);
   g_snprintf (named, sizeof named, "%u", ask->ids->len);
   g_snprintf (took, sizeof took, "%" PRId64, took_ms);
   g_snprintf (yes, sizeof yes, "%d", approved);
@@ -215,12 +222,12 @@
 }
 
 static void
-send_ask (struct rst_planner *planner, struct ask *ask)
+send_request (struct rst_planner *planner, struct ask *ask)
 {
   struct rst_pack pack;
   char name[RST_TASK_NAME_SIZE];
 
-  ask_name (ask, name, sizeof name);
+  format_step_name (ask, name, sizeof name);
   rst_pack_init (&pack, 4);
   rst_pack_int (&pack, RST_MSG_ADVISE);
   rst_pack_int (&pack, (int64_t)ask->handle);
@@ -232,7 +239,8 @@
 }
 
 void
-rst_plan_ask (struct rst_planner *planner, struct step *step, int tasks)
+rst_plan_request_advice (struct rst_planner *planner, struct step *step,
+                         int tasks)
 {
   const struct job *job = step->occurrence->job;
   GArray *found;
@@ -241,16 +249,16 @@
   struct agent *agent;
   struct ask *ask;
 
-  if (planner->now < step->ask_after
-      || !rst_plan_below_limit (step, step->spec->gang ? tasks : 1))
+  if (planner->now < step->next_request_at
+      || !rst_plan_is_below_limit (step, step->spec->gang ? tasks : 1))
     return;
   /* While all agents are busy there is no point in looking further. */
-  if (choose_agent (planner, job->queue->set.advice_ms) == NULL)
+  if (choose_agent (planner, job->queue->settings.advice_ms) == NULL)
     return;
-  found = candidates (planner, step);
-  named = count_named (found, step, tasks);
-  cost_ms = job->queue->set.advice_ms
-            + named * job->queue->set.advice_each_us / 1000;
+  found = find_request_candidates (planner, step);
+  named = count_instances_to_name (found, step, tasks);
+  cost_ms = job->queue->settings.advice_ms
+            + named * job->queue->settings.advice_per_instance_us / 1000;
   agent = named > 0 ? choose_agent (planner, cost_ms) : NULL;
   if (agent == NULL)
     {
@@ -271,26 +279,29 @@
         ask->ids,
         g_strdup (
             g_array_index (found, struct candidate, i).instance->entry.id));
-  agent->asking++;
+  agent->open_requests++;
   agent->busy_until = MAX (agent->busy_until, planner->now) + cost_ms;
-  ask->keeps = cost_ms <= KEEP_CALL_MS || (step->spec->gang && step->asked);
+  ask->reserves_room = cost_ms <= RESERVING_REQUEST_MAX_MS
+                       || (step->spec->gang && step->advice_requested);
   step->ask = ask;
-  step->asked = true;
+  step->advice_requested = true;
   g_hash_table_insert (planner->asks, &ask->handle, ask);
   planner->stats.advice_calls++;
-  log_ask (ask, "Advice is asked for.", cost_ms, 0);
-  send_ask (planner, ask);
+  log_request (ask, "Advice is asked for.", cost_ms, 0);
+  send_request (planner, ask);
   g_array_free (found, TRUE);
 }
 
 /* Keeps room for the tasks that a call under way asks about. */
 void
-rst_plan_keep_asked (struct rst_planner *planner, struct step *step, int tasks)
+rst_plan_reserve_requested (struct rst_planner *planner, struct step *step,
+                            int tasks)
 {
   const struct ask *ask = step->ask;
   double wanted = tasks;
 
-  for (guint i = 0; ask->keeps && wanted > 0.0 && i < ask->ids->len; i++)
+  for (guint i = 0; ask->reserves_room && wanted > 0.0 && i < ask->ids->len;
+       i++)
     {
       struct instance *instance = g_hash_table_lookup (
           planner->instances, g_ptr_array_index (ask->ids, i));
@@ -302,8 +313,8 @@
 
       if (instance == NULL)
         continue;
-      slots = MIN (rst_plan_slots (instance, step), tasks);
-      rst_plan_keep (instance, step, slots);
+      slots = MIN (rst_plan_count_slots (instance, step), tasks);
+      rst_plan_reserve_slots (instance, step, slots);
       wanted -= slots * chance;
     }
 }
@@ -313,28 +324,28 @@
 {
   struct job *job = g_hash_table_lookup (planner->jobs, ask->id);
   struct occurrence *occurrence
-      = job != NULL ? rst_plan_occurrence (job, ask->occurrence) : NULL;
+      = job != NULL ? rst_plan_find_occurrence (job, ask->occurrence) : NULL;
 
   return occurrence != NULL ? &occurrence->steps[ask->step] : NULL;
 }
 
 static void
-end_ask (struct rst_planner *planner, struct ask *ask, rst_ms pause_ms)
+end_request (struct rst_planner *planner, struct ask *ask, rst_ms pause_ms)
 {
   struct step *step = find_step (planner, ask);
 
   if (step != NULL)
     {
       step->ask = NULL;
-      step->ask_after = planner->now + pause_ms;
+      step->next_request_at = planner->now + pause_ms;
     }
   for (guint i = 0; i < planner->agents->len; i++)
     {
       struct agent *agent = g_ptr_array_index (planner->agents, i);
 
-      if (agent->link == ask->link && --agent->asking <= 0)
+      if (agent->link == ask->link && --agent->open_requests <= 0)
         {
-          agent->asking = 0;
+          agent->open_requests = 0;
           agent->busy_until = planner->now;
         }
     }
@@ -343,7 +354,7 @@
 }
 
 void
-rst_plan_asks_of_link_end (struct rst_planner *planner, uint64_t link)
+rst_plan_end_link_requests (struct rst_planner *planner, uint64_t link)
 {
   GList *asks = g_hash_table_get_values (planner->asks);
 
@@ -352,14 +363,14 @@
       struct ask *ask = item->data;
 
       if (ask->link == link)
-        end_ask (planner, ask, 0);
+        end_request (planner, ask, 0);
     }
   g_list_free (asks);
 }
 
 static void
-take_answer (struct rst_planner *planner, const struct ask *ask,
-             struct step *step, struct rst_reader *rows)
+record_approvals (struct rst_planner *planner, const struct ask *ask,
+                  struct step *step, struct rst_reader *rows)
 {
   struct queue *queue = step->occurrence->job->queue;
   GHashTable *approved
@@ -367,9 +378,9 @@
 
   for (uint32_t i = 0; i < rows->count; i++)
     {
-      struct rst_reader row = rst_reader_array (rows);
-      char *id = rst_reader_text (&row);
-      char *ticket = rst_reader_text (&row);
+      struct rst_reader row = rst_reader_read_array (rows);
+      char *id = rst_reader_read_text (&row);
+      char *ticket = rst_reader_read_text (&row);
 
       g_hash_table_insert (approved, id, ticket);
     }
@@ -385,16 +396,16 @@
       if (leave == NULL)
         {
           queue->approval
-              += APPROVAL_WEIGHT
+              += APPROVAL_RATE_WEIGHT
                  * ((ticket != NULL ? 1.0 : 0.0) - queue->approval);
           leave = g_new0 (struct leave, 1);
           g_hash_table_insert (step->leaves, g_strdup (id), leave);
         }
-      leave->denied = ticket == NULL;
+      leave->rejected = ticket == NULL;
       leave->born = instance->born;
       /* Validity counts from the answer, which came a moment ago. */
-      leave->expires
-          = planner->now + queue->set.advice_valid_ms - TICKET_MARGIN_MS;
+      leave->expires_at
+          = planner->now + queue->settings.advice_valid_ms - TICKET_MARGIN_MS;
       if (ticket != NULL)
         g_strlcpy (leave->ticket, ticket, sizeof leave->ticket);
     }
@@ -402,11 +413,12 @@
 }
 
 void
-rst_plan_advice (struct rst_planner *planner, struct rst_reader *reader)
+rst_plan_receive_advice (struct rst_planner *planner,
+                         struct rst_reader *reader)
 {
-  uint64_t handle = (uint64_t)rst_reader_int (reader);
-  enum rst_result result = (enum rst_result)rst_reader_int (reader);
-  struct rst_reader rows = rst_reader_array (reader);
+  uint64_t handle = (uint64_t)rst_reader_read_int (reader);
+  enum rst_result result = (enum rst_result)rst_reader_read_int (reader);
+  struct rst_reader rows = rst_reader_read_array (reader);
   struct ask *ask = g_hash_table_lookup (planner->asks, &handle);
   struct step *step;
 
@@ -417,13 +429,14 @@
     {
       planner->stats.advice_failed++;
       rst_info (RST_PLAN_LOG, "Call for advice failed.", "job", ask->id,
-                "result", rst_result_text (result));
-      end_ask (planner, ask, ASK_FAILED_MS);
+                "result", rst_result_name (result));
+      end_request (planner, ask, FAILED_REQUEST_PAUSE_MS);
       return;
     }
-  log_ask (ask, "Advice came.", planner->now - ask->sent_at, (int)rows.count);
+  log_request (ask, "Advice came.", planner->now - ask->sent_at,
+               (int)rows.count);
   step = find_step (planner, ask);
   if (step != NULL)
-    take_answer (planner, ask, step, &rows);
-  end_ask (planner, ask, ASK_AGAIN_MS);
+    record_approvals (planner, ask, step, &rows);
+  end_request (planner, ask, REQUEST_PAUSE_MS);
 }
--- a/src/cell/plan_instances.c
+++ b/src/cell/plan_instances.c
@@ -3,27 +3,27 @@
 #include "cell/planner_private.h"
 
 /** How long a removed entry is remembered before its instance is dropped. */
-#define GONE_KEEP_MS 30000
+#define UNREGISTERED_RETENTION_MS 30000
 
 /** Added to a lapse for clocks that run 2 % slow and for travel. */
-#define LAPSE_MARGIN_MS 300
+#define LEASE_MARGIN_MS 300
 
 /** Wait for the answer of a start whose agent is gone, in milliseconds. */
-#define HASTE_MS 200
+#define ORPHANED_START_TIMEOUT_MS 200
 
 /** Age of the store's word from which on instances born since get no work;
     above the time between two renewals. */
-#define CONFIRM_MAX_MS 400
+#define NEW_INCARNATION_CONFIRM_AGE_MAX_MS 400
 
 /** Age of the store's word from which on nothing is started; well below the
     time for which leases are extended without it. */
-#define STARTS_MAX_MS 4000
+#define START_CONFIRM_AGE_MAX_MS 4000
 
 /** Tokens that one planner has for the lives of one instance. */
-#define FENCES_PER_EPOCH 1000
+#define FENCING_TOKENS_PER_EPOCH 1000
 
 /** Time between attempts to hold an instance that has no agent's report. */
-#define HOLD_AGAIN_MS 700
+#define HOLD_RETRY_MS 700
 
 void
 rst_plan_instance_free (gpointer data)
@@ -36,10 +36,10 @@
 
 /* When the leases have run out that an agent out of reach may extend. */
 static rst_ms
-longest_lapse (const struct rst_planner *planner)
+latest_lease_expiry (const struct rst_planner *planner)
 {
-  return planner->now + planner->bounds.keep_ms
-         + planner->bounds.lease_ms * 102 / 100 + LAPSE_MARGIN_MS;
+  return planner->now + planner->timing.unconfirmed_renewal_ms
+         + planner->timing.lease_ms * 102 / 100 + LEASE_MARGIN_MS;
 }
 
 struct instance *
@@ -50,7 +50,7 @@
   g_strlcpy (instance->entry.id, id, sizeof instance->entry.id);
   instance->runs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                           rst_plan_run_free);
-  instance->lapse_at = longest_lapse (planner);
+  instance->lease_expires_at = latest_lease_expiry (planner);
   g_hash_table_insert (planner->instances, instance->entry.id, instance);
   return instance;
 }
@@ -79,7 +79,7 @@
     {
       struct agent *agent = g_ptr_array_index (planner->agents, i);
       bool near = strcmp (agent->zone, instance->entry.zone) == 0;
-      int score = agent->held + (near ? 0 : 100000);
+      int score = agent->instance_count + (near ? 0 : 100000);
 
       if (best == NULL || score < best_score)
         {
@@ -93,12 +93,13 @@
 /* Raised with the planner and with each life of the instance: an order to an
    earlier life that is carried out late is turned away. */
 static int64_t
-fence (const struct rst_planner *planner, const struct instance *instance)
+get_fencing_token (const struct rst_planner *planner,
+                   const struct instance *instance)
 {
-  if (RST_CELL_FAULT (RST_CELL_FAULT_ONE_FENCE))
-    return planner->epoch * FENCES_PER_EPOCH;
-  return planner->epoch * FENCES_PER_EPOCH
-         + MIN (instance->lives, FENCES_PER_EPOCH - 1);
+  if (RST_CELL_FAULT (RST_CELL_FAULT_SHARED_TOKEN))
+    return planner->epoch * FENCING_TOKENS_PER_EPOCH;
+  return planner->epoch * FENCING_TOKENS_PER_EPOCH
+         + MIN (instance->incarnation_count, FENCING_TOKENS_PER_EPOCH - 1);
 }
 
 static void
@@ -106,19 +107,19 @@
 {
   struct rst_pack pack;
 
-  instance->next_hold = planner->now + HOLD_AGAIN_MS;
+  instance->next_hold_at = planner->now + HOLD_RETRY_MS;
   rst_pack_init (&pack, 5);
   rst_pack_int (&pack, RST_MSG_HOLD);
   rst_pack_text (&pack, instance->entry.id);
   rst_pack_text (&pack, instance->entry.address);
-  rst_pack_int (&pack, fence (planner, instance));
-  rst_pack_int (&pack, instance->acked);
+  rst_pack_int (&pack, get_fencing_token (planner, instance));
+  rst_pack_int (&pack, instance->last_acked_end);
   rst_plan_send (planner, instance->agent->link, &pack);
 }
 
 void
-rst_plan_send_id (struct rst_planner *planner, struct instance *instance,
-                  int kind, int64_t number)
+rst_plan_send_to_instance (struct rst_planner *planner,
+                           struct instance *instance, int kind, int64_t number)
 {
   struct rst_pack pack;
 
@@ -133,38 +134,38 @@
 
 /* Nobody reports on the instance; its lease may be extended for a while. */
 static void
-set_unknown (struct rst_planner *planner, struct instance *instance)
+mark_runs_unknown (struct rst_planner *planner, struct instance *instance)
 {
-  if (!instance->known)
+  if (!instance->runs_known)
     return;
-  instance->unknown_at = planner->now;
-  instance->lapse_at = longest_lapse (planner);
-  instance->known = false;
+  instance->runs_unknown_since = planner->now;
+  instance->lease_expires_at = latest_lease_expiry (planner);
+  instance->runs_known = false;
 }
 
 static void
-give_to (struct rst_planner *planner, struct instance *instance,
-         struct agent *agent)
+assign_to_agent (struct rst_planner *planner, struct instance *instance,
+                 struct agent *agent)
 {
   if (instance->agent == agent)
     return;
   if (instance->agent != NULL)
     {
-      instance->agent->held--;
-      rst_plan_send_id (planner, instance, RST_MSG_DROP, 0);
-      set_unknown (planner, instance);
+      instance->agent->instance_count--;
+      rst_plan_send_to_instance (planner, instance, RST_MSG_RELEASE, 0);
+      mark_runs_unknown (planner, instance);
     }
   instance->agent = agent;
   if (agent == NULL)
     return;
-  agent->held++;
-  instance->look_ms = 0;
+  agent->instance_count++;
+  instance->poll_wait_ms = 0;
   send_hold (planner, instance);
 }
 
 /* Every instance gets an agent, one of its zone where there is one. */
 void
-rst_plan_assign (struct rst_planner *planner)
+rst_plan_assign_instances (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
@@ -178,13 +179,13 @@
       struct instance *instance = value;
 
       if (instance->agent == NULL && instance->entry.address[0] != '\0')
-        give_to (planner, instance, choose_agent (planner, instance));
+        assign_to_agent (planner, instance, choose_agent (planner, instance));
     }
 }
 
 /* An agent that has come may take instances of its zone from others. */
 static void
-balance (struct rst_planner *planner, struct agent *agent)
+rebalance_to_agent (struct rst_planner *planner, struct agent *agent)
 {
   GHashTableIter iter;
   gpointer value;
@@ -199,14 +200,14 @@
 
       if (instance->agent == NULL || !near)
         continue;
-      if (far || instance->agent->held > agent->held + 1)
-        give_to (planner, instance, agent);
+      if (far || instance->agent->instance_count > agent->instance_count + 1)
+        assign_to_agent (planner, instance, agent);
     }
 }
 
 void
-rst_planner_agent (struct rst_planner *planner, uint64_t link,
-                   const char *name, const char *zone)
+rst_planner_add_agent (struct rst_planner *planner, uint64_t link,
+                       const char *name, const char *zone)
 {
   struct agent *agent = g_new0 (struct agent, 1);
 
@@ -215,23 +216,23 @@
   g_strlcpy (agent->zone, zone, sizeof agent->zone);
   g_ptr_array_add (planner->agents, agent);
   rst_info (RST_PLAN_LOG, "Agent joined.", "agent", name, "zone", zone);
-  rst_plan_assign (planner);
-  balance (planner, agent);
+  rst_plan_assign_instances (planner);
+  rebalance_to_agent (planner, agent);
   planner->changed = true;
 }
 
 /* Starts that the lost agent carried may never be answered. */
 static void
-hasten_starts (struct rst_planner *planner, struct instance *instance)
+shorten_start_timeouts (struct rst_planner *planner, struct instance *instance)
 {
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init (&iter, instance->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    ((struct run *)value)->ordered_at
-        = MIN (((struct run *)value)->ordered_at,
-               planner->now - RST_START_ANSWER_MS + HASTE_MS);
+    ((struct run *)value)->start_sent_at = MIN (
+        ((struct run *)value)->start_sent_at,
+        planner->now - RST_START_TIMEOUT_MS + ORPHANED_START_TIMEOUT_MS);
 }
 
 void
@@ -252,59 +253,60 @@
       if (instance->agent != agent)
         continue;
       instance->agent = NULL;
-      set_unknown (planner, instance);
-      hasten_starts (planner, instance);
+      mark_runs_unknown (planner, instance);
+      shorten_start_timeouts (planner, instance);
     }
-  rst_plan_asks_of_link_end (planner, link);
+  rst_plan_end_link_requests (planner, link);
   g_ptr_array_remove (planner->agents, agent);
-  rst_plan_assign (planner);
+  rst_plan_assign_instances (planner);
   planner->changed = true;
 }
 
 /* All that ran there has ended with the instance's earlier life. */
 static void
-lose_runs (struct rst_planner *planner, struct instance *instance,
-           const char *why)
+mark_runs_lost (struct rst_planner *planner, struct instance *instance,
+                const char *why)
 {
   GList *runs = g_hash_table_get_values (instance->runs);
 
   for (GList *item = runs; item != NULL; item = item->next)
-    rst_plan_run_lost (planner, item->data, why);
+    rst_plan_run_mark_lost (planner, item->data, why);
   g_list_free (runs);
 }
 
 void
-rst_planner_instance (struct rst_planner *planner,
-                      const struct rst_instance_entry *entry)
+rst_planner_update_instance (struct rst_planner *planner,
+                             const struct rst_instance_entry *entry)
 {
   struct instance *instance
       = g_hash_table_lookup (planner->instances, entry->id);
-  bool moved;
+  bool address_changed;
 
   if (instance == NULL)
     instance = rst_plan_instance_new (planner, entry->id);
-  moved = strcmp (instance->entry.address, entry->address) != 0;
+  address_changed = strcmp (instance->entry.address, entry->address) != 0;
   if (instance->entry.draining != entry->draining && entry->draining)
     rst_info (RST_PLAN_LOG, "Instance drains.", "instance", entry->id);
   instance->entry = *entry;
-  instance->present = true;
-  instance->gone_at = 0;
+  instance->registered = true;
+  instance->unregistered_at = 0;
   planner->changed = true;
   if (instance->agent == NULL)
-    rst_plan_assign (planner);
-  else if (moved || (entry->born > instance->born && instance->born > 0))
+    rst_plan_assign_instances (planner);
+  else if (address_changed
+           || (entry->born > instance->born && instance->born > 0))
     send_hold (planner, instance);
 }
 
 void
-rst_planner_instance_gone (struct rst_planner *planner, const char *id)
+rst_planner_remove_instance (struct rst_planner *planner, const char *id)
 {
   struct instance *instance = g_hash_table_lookup (planner->instances, id);
 
   if (instance == NULL)
     return;
-  instance->present = false;
-  instance->gone_at = planner->now;
+  instance->registered = false;
+  instance->unregistered_at = planner->now;
   planner->changed = true;
   rst_info (RST_PLAN_LOG, "Instance is not registered any more.", "instance",
             id);
@@ -320,42 +322,43 @@
 {
   rst_ms age = planner->now - planner->confirmed_at;
 
-  return age > STARTS_MAX_MS
-         || (age > CONFIRM_MAX_MS
-             && instance->life_at > planner->confirmed_at);
+  return age > START_CONFIRM_AGE_MAX_MS
+         || (age > NEW_INCARNATION_CONFIRM_AGE_MAX_MS
+             && instance->incarnation_seen_at > planner->confirmed_at);
 }
 
 bool
-rst_plan_usable (const struct rst_planner *planner,
-                 const struct instance *instance)
+rst_plan_instance_is_schedulable (const struct rst_planner *planner,
+                                  const struct instance *instance)
 {
-  return instance->present && instance->known && instance->recorded
+  return instance->registered && instance->runs_known && instance->recorded
          && !instance->blocked && instance->agent != NULL
          && !instance->entry.draining && !may_be_replaced (planner, instance)
-         && planner->now >= instance->avoid_until
-         && !g_hash_table_contains (planner->evacuated, instance->entry.zone);
+         && planner->now >= instance->paused_until
+         && !g_hash_table_contains (planner->evacuated_zones,
+                                    instance->entry.zone);
 }
 
 static struct rst_run
 read_run (struct rst_reader *reader)
 {
-  struct rst_reader row = rst_reader_array (reader);
+  struct rst_reader row = rst_reader_read_array (reader);
   struct rst_run run = { 0 };
 
-  run.number = rst_reader_int (&row);
-  rst_reader_copy (&row, run.task, sizeof run.task);
-  run.attempt = (int)rst_reader_int (&row);
-  run.how = (int)rst_reader_int (&row);
-  rst_reader_copy (&row, run.saved, sizeof run.saved);
-  run.percent = (int)rst_reader_int (&row);
-  run.usage = rst_reader_int (&row);
+  run.number = rst_reader_read_int (&row);
+  rst_reader_copy_text (&row, run.task, sizeof run.task);
+  run.attempt = (int)rst_reader_read_int (&row);
+  run.end_reason = (int)rst_reader_read_int (&row);
+  rst_reader_copy_text (&row, run.checkpoint, sizeof run.checkpoint);
+  run.percent = (int)rst_reader_read_int (&row);
+  run.usage = rst_reader_read_int (&row);
   reader->bad |= row.bad;
   return run;
 }
 
 static void
-stop_stranger (struct rst_planner *planner, struct instance *instance,
-               const struct rst_run *listed)
+stop_unknown_run (struct rst_planner *planner, struct instance *instance,
+                  const struct rst_run *listed)
 {
   struct rst_pack pack;
 
@@ -372,62 +375,63 @@
 /* A run that this planner did not order: its predecessor's, or one that was
    given up and was carried out late. */
 static void
-adopt (struct rst_planner *planner, struct instance *instance,
-       const struct rst_run *listed)
+adopt_run (struct rst_planner *planner, struct instance *instance,
+           const struct rst_run *listed)
 {
   struct task *task = rst_plan_find_task (planner, listed->task);
   struct job *job = task != NULL ? task->step->occurrence->job : NULL;
   struct run *run;
 
   /* A later attempt was ordered only when the one assumed had ended. */
-  if (task != NULL && task->run != NULL && task->run->assumed
+  if (task != NULL && task->run != NULL && task->run->from_journal
       && task->run->attempt < listed->attempt)
-    rst_plan_run_drop (planner, task->run);
+    rst_plan_run_remove (planner, task->run);
   if (task == NULL || task->run != NULL || task->done || !job->stored)
     {
       instance->blocked = true;
-      stop_stranger (planner, instance, listed);
+      stop_unknown_run (planner, instance, listed);
       return;
     }
   run = rst_plan_run_new (planner, task, instance, listed->attempt);
-  rst_plan_run_begun (run);
+  rst_plan_run_mark_started (run);
   run->percent = listed->percent;
   task->step->gang_attempt = MAX (task->step->gang_attempt, listed->attempt);
-  if (rst_plan_job_over (job)
-      || (!planner->unsure_left && task->step->spec->gang))
-    rst_plan_stop (planner, run);
+  if (rst_plan_job_has_ended (job)
+      || (!planner->has_inherited && task->step->spec->gang))
+    rst_plan_stop_run (planner, run);
 }
 
 static void
-take_running (struct rst_planner *planner, struct instance *instance,
-              const struct rst_run *listed)
+update_listed_run (struct rst_planner *planner, struct instance *instance,
+                   const struct rst_run *listed)
 {
   struct run *run = g_hash_table_lookup (instance->runs, listed->task);
 
   if (run == NULL || run->attempt != listed->attempt)
     {
-      adopt (planner, instance, listed);
+      adopt_run (planner, instance, listed);
       return;
     }
-  rst_plan_run_begun (run);
-  run->assumed = false;
+  rst_plan_run_mark_started (run);
+  run->from_journal = false;
   if (listed->percent != run->percent)
-    run->moved_at = planner->now;
+    run->progressed_at = planner->now;
   run->percent = listed->percent;
   run->usage = listed->usage;
-  if (listed->saved[0] != '\0' && run->task->step->spec->saves)
+  if (listed->checkpoint[0] != '\0' && run->task->step->spec->has_checkpoints)
     {
-      g_strlcpy (run->task->saved, listed->saved, sizeof run->task->saved);
-      g_strlcpy (run->task->step->saved, listed->saved,
-                 sizeof run->task->step->saved);
+      g_strlcpy (run->task->checkpoint, listed->checkpoint,
+                 sizeof run->task->checkpoint);
+      g_strlcpy (run->task->step->checkpoint, listed->checkpoint,
+                 sizeof run->task->step->checkpoint);
     }
 }
 
 /* Drops the runs that the instance neither runs nor lists as ended, where
    its word is younger than its last answer about them. */
 static void
-drop_missing (struct rst_planner *planner, struct instance *instance,
-              GHashTable *listed, int64_t clock_ms)
+drop_unlisted_runs (struct rst_planner *planner, struct instance *instance,
+                    GHashTable *listed, int64_t clock_ms)
 {
   GList *runs = g_hash_table_get_values (instance->runs);
 
@@ -440,18 +444,18 @@
       if (!settled || clock_ms <= run->clock_ms
           || g_hash_table_contains (listed, run->name))
         continue;
-      rst_plan_run_lost (planner, run, "not listed");
+      rst_plan_run_mark_lost (planner, run, "not listed");
     }
   g_list_free (runs);
 }
 
 static void
-take_lists (struct rst_planner *planner, struct instance *instance,
-            struct rst_reader *runs, int64_t clock_ms)
+apply_report (struct rst_planner *planner, struct instance *instance,
+              struct rst_reader *runs, int64_t clock_ms)
 {
   GHashTable *listed
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  int64_t seen = instance->seen;
+  int64_t last_seen_end = instance->last_seen_end;
 
   instance->blocked = false;
   for (uint32_t i = 0; i < runs->count; i++)
@@ -463,56 +467,56 @@
       if (run.number == 0)
         {
           g_hash_table_add (listed, g_strdup (run.task));
-          take_running (planner, instance, &run);
+          update_listed_run (planner, instance, &run);
         }
-      else if (run.number > seen)
+      else if (run.number > last_seen_end)
         {
-          instance->seen = MAX (instance->seen, run.number);
-          rst_plan_end (planner, instance, &run);
-          planner->acks_wait = true;
+          instance->last_seen_end = MAX (instance->last_seen_end, run.number);
+          rst_plan_apply_end (planner, instance, &run);
+          planner->acks_pending = true;
         }
     }
-  drop_missing (planner, instance, listed, clock_ms);
-  rst_plan_pace (planner, instance);
+  drop_unlisted_runs (planner, instance, listed, clock_ms);
+  rst_plan_adjust_pace (planner, instance);
   g_hash_table_destroy (listed);
 }
 
 /* What ran in the earlier life may start elsewhere only once the new life
    turns late orders away, and has said since what it runs. */
 static bool
-raise_fence (struct rst_planner *planner, struct instance *instance,
-             int64_t born)
+raise_fencing_token (struct rst_planner *planner, struct instance *instance,
+                     int64_t born)
 {
-  if (instance->born == 0 || instance->raised_for == born)
+  if (instance->born == 0 || instance->fenced_incarnation == born)
     return false;
   rst_info (RST_PLAN_LOG, "Instance was born anew.", "instance",
             instance->entry.id);
-  instance->raised_for = born;
-  instance->lives++;
-  instance->acked = 0;
-  instance->committing = 0;
-  set_unknown (planner, instance);
+  instance->fenced_incarnation = born;
+  instance->incarnation_count++;
+  instance->last_acked_end = 0;
+  instance->committing_end = 0;
+  mark_runs_unknown (planner, instance);
   send_hold (planner, instance);
   return true;
 }
 
 static void
-begin_life (struct rst_planner *planner, struct instance *instance,
-            int64_t born)
+begin_incarnation (struct rst_planner *planner, struct instance *instance,
+                   int64_t born)
 {
   if (instance->born != 0)
-    lose_runs (planner, instance, "born anew");
+    mark_runs_lost (planner, instance, "born anew");
   instance->born = born;
-  instance->life_at = planner->now;
-  instance->seen = 0;
-  instance->acked = 0;
-  instance->committing = 0;
+  instance->incarnation_seen_at = planner->now;
+  instance->last_seen_end = 0;
+  instance->last_acked_end = 0;
+  instance->committing_end = 0;
   instance->failures = 0;
 }
 
 void
-rst_plan_report (struct rst_planner *planner, uint64_t link,
-                 struct rst_reader *reader)
+rst_plan_receive_report (struct rst_planner *planner, uint64_t link,
+                         struct rst_reader *reader)
 {
   char id[RST_ID_SIZE];
   struct instance *instance;
@@ -521,55 +525,56 @@
   int64_t clock_ms;
   int64_t born;
   int64_t lease_left;
-  int64_t held_with;
-
-  rst_reader_copy (reader, id, sizeof id);
-  result = (enum rst_result)rst_reader_int (reader);
-  clock_ms = rst_reader_int (reader);
-  born = rst_reader_int (reader);
-  lease_left = rst_reader_int (reader);
-  held_with = rst_reader_int (reader);
-  runs = rst_reader_array (reader);
+  int64_t report_token;
+
+  rst_reader_copy_text (reader, id, sizeof id);
+  result = (enum rst_result)rst_reader_read_int (reader);
+  clock_ms = rst_reader_read_int (reader);
+  born = rst_reader_read_int (reader);
+  lease_left = rst_reader_read_int (reader);
+  report_token = rst_reader_read_int (reader);
+  runs = rst_reader_read_array (reader);
   instance = g_hash_table_lookup (planner->instances, id);
   if (reader->bad || instance == NULL || instance->agent == NULL
       || instance->agent->link != link
-      || held_with != fence (planner, instance))
+      || report_token != get_fencing_token (planner, instance))
     return;
   if (result != RST_RESULT_OK)
     {
-      if (instance->known)
+      if (instance->runs_known)
         {
           rst_info (RST_PLAN_LOG, "Instance does not answer.", "instance", id,
-                    "result", rst_result_text (result));
-          instance->known = false;
-          instance->lapse_at
-              = planner->now + lease_left * 102 / 100 + LAPSE_MARGIN_MS;
+                    "result", rst_result_name (result));
+          instance->runs_known = false;
+          instance->lease_expires_at
+              = planner->now + lease_left * 102 / 100 + LEASE_MARGIN_MS;
         }
       return;
     }
   if (born < instance->born)
     return;
-  if (born > instance->born && raise_fence (planner, instance, born))
+  if (born > instance->born && raise_fencing_token (planner, instance, born))
     return;
   if (born > instance->born)
-    begin_life (planner, instance, born);
-  instance->known = true;
+    begin_incarnation (planner, instance, born);
+  instance->runs_known = true;
   instance->inherited = false;
-  take_lists (planner, instance, &runs, clock_ms);
+  apply_report (planner, instance, &runs, clock_ms);
 }
 
 static void
-settle_unsure (struct rst_planner *planner)
+update_has_inherited (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
 
-  planner->unsure_left = false;
+  planner->has_inherited = false;
   g_hash_table_iter_init (&iter, planner->instances);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    planner->unsure_left |= ((struct instance *)value)->inherited
-                            && !RST_CELL_FAULT (RST_CELL_FAULT_HASTY_HEIR);
-  if (!planner->unsure_left)
+    planner->has_inherited
+        |= ((struct instance *)value)->inherited
+           && !RST_CELL_FAULT (RST_CELL_FAULT_NO_TAKEOVER_WAIT);
+  if (!planner->has_inherited)
     rst_info (RST_PLAN_LOG, "All instances of the predecessor are known.");
 }
 
@@ -577,24 +582,25 @@
 check_instance (struct rst_planner *planner, struct instance *instance)
 {
   if (instance->agent == NULL)
-    give_to (planner, instance, choose_agent (planner, instance));
-  else if (!instance->known && planner->now >= instance->next_hold)
+    assign_to_agent (planner, instance, choose_agent (planner, instance));
+  else if (!instance->runs_known && planner->now >= instance->next_hold_at)
     send_hold (planner, instance);
   rst_plan_check_runs (planner, instance);
-  if (instance->known || planner->now < instance->lapse_at)
+  if (instance->runs_known || planner->now < instance->lease_expires_at)
     return;
   if (g_hash_table_size (instance->runs) > 0)
-    lose_runs (planner, instance, "lease ran out");
+    mark_runs_lost (planner, instance, "lease ran out");
   instance->inherited = false;
 }
 
 static bool
-is_forgotten (struct rst_planner *planner, struct instance *instance)
+may_be_forgotten (struct rst_planner *planner, struct instance *instance)
 {
-  return !instance->present && !instance->known
+  return !instance->registered && !instance->runs_known
          && g_hash_table_size (instance->runs) == 0 && !instance->inherited
-         && planner->now - instance->gone_at > GONE_KEEP_MS
-         && planner->now - planner->created_at > GONE_KEEP_MS;
+         && planner->now - instance->unregistered_at
+                > UNREGISTERED_RETENTION_MS
+         && planner->now - planner->created_at > UNREGISTERED_RETENTION_MS;
 }
 
 void
@@ -609,14 +615,14 @@
       struct instance *instance = value;
 
       check_instance (planner, instance);
-      if (is_forgotten (planner, instance))
+      if (may_be_forgotten (planner, instance))
         {
-          give_to (planner, instance, NULL);
+          assign_to_agent (planner, instance, NULL);
           g_hash_table_iter_remove (&iter);
         }
     }
-  if (planner->unsure_left)
-    settle_unsure (planner);
+  if (planner->has_inherited)
+    update_has_inherited (planner);
 }
 
 static void
@@ -629,14 +635,14 @@
   rst_pack_init (&pack, 4);
   rst_pack_int (&pack, RST_MSG_ACK);
   rst_pack_text (&pack, instance->entry.id);
-  rst_pack_int (&pack, instance->acked);
+  rst_pack_int (&pack, instance->last_acked_end);
   rst_pack_int (&pack, instance->born);
   rst_plan_send (planner, instance->agent->link, &pack);
 }
 
 /* Ends that are in the store may be forgotten by the instances. */
 void
-rst_plan_acks (struct rst_planner *planner)
+rst_plan_send_acks (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
@@ -646,9 +652,9 @@
     {
       struct instance *instance = value;
 
-      if (instance->committing <= instance->acked)
+      if (instance->committing_end <= instance->last_acked_end)
         continue;
-      instance->acked = instance->committing;
+      instance->last_acked_end = instance->committing_end;
       send_ack (planner, instance);
     }
 }
--- a/src/cell/plan_jobs.c
+++ b/src/cell/plan_jobs.c
@@ -4,36 +4,36 @@
 #include "cell/planner_private.h"
 
 /** Seconds after which a caller that was turned away should come back. */
-#define RETRY_SECONDS 1
+#define RETRY_AFTER_S 1
 
 /** Jobs a second that a customer may hand in beyond its share, as a burst. */
 #define SHARE_BURST_S 2.0
 
 struct queue *
-rst_plan_queue (struct rst_planner *planner, const char *name)
+rst_plan_get_queue (struct rst_planner *planner, const char *name)
 {
   struct queue *queue = g_hash_table_lookup (planner->queues, name);
 
   if (queue != NULL)
     return queue;
   queue = g_new0 (struct queue, 1);
-  queue->set.name = g_strdup (name);
+  queue->settings.name = g_strdup (name);
   queue->approval = 0.5;
-  g_hash_table_insert (planner->queues, queue->set.name, queue);
+  g_hash_table_insert (planner->queues, queue->settings.name, queue);
   return queue;
 }
 
 struct customer *
-rst_plan_customer (struct rst_planner *planner, const char *name)
+rst_plan_get_customer (struct rst_planner *planner, const char *name)
 {
   struct customer *customer = g_hash_table_lookup (planner->customers, name);
 
   if (customer != NULL)
     return customer;
   customer = g_new0 (struct customer, 1);
-  customer->set.name = g_strdup (name);
-  customer->set.weight = 1;
-  g_hash_table_insert (planner->customers, customer->set.name, customer);
+  customer->settings.name = g_strdup (name);
+  customer->settings.weight = 1;
+  g_hash_table_insert (planner->customers, customer->settings.name, customer);
   return customer;
 }
 
@@ -58,7 +58,7 @@
   struct job *job = data;
 
   g_ptr_array_free (job->occurrences, TRUE);
-  g_array_free (job->waiters, TRUE);
+  g_array_free (job->pending_replies, TRUE);
   rst_jobdesc_destroy (job->desc);
   g_free (job);
 }
@@ -77,24 +77,25 @@
   job->occurrences = g_ptr_array_new_with_free_func (occurrence_free);
   job->occurrences_left = MAX (desc->repeats, 1);
   job->submitted_ms = planner->unix_ms;
-  job->waiters = g_array_new (FALSE, TRUE, sizeof (struct waiter));
+  job->pending_replies
+      = g_array_new (FALSE, TRUE, sizeof (struct pending_reply));
   if (desc->repeats == 0)
     queue->pending++;
   else
-    g_ptr_array_add (planner->timed, job);
+    g_ptr_array_add (planner->repeating_jobs, job);
   g_hash_table_insert (planner->jobs, job->id, job);
   return job;
 }
 
 bool
-rst_plan_job_over (const struct job *job)
+rst_plan_job_has_ended (const struct job *job)
 {
   return job->state == RST_JOB_COMPLETED || job->state == RST_JOB_FAILED
          || job->state == RST_JOB_CANCELLED;
 }
 
 struct occurrence *
-rst_plan_occurrence (struct job *job, int64_t number)
+rst_plan_find_occurrence (struct job *job, int64_t number)
 {
   for (guint i = 0; i < job->occurrences->len; i++)
     {
@@ -114,8 +115,8 @@
   step->occurrence = occurrence;
   step->spec = &occurrence->job->desc->steps[index];
   step->index = index;
-  step->left = step->spec->count;
-  step->waiting = step->spec->count;
+  step->tasks_left = step->spec->count;
+  step->tasks_waiting = step->spec->count;
   step->tasks = g_new0 (struct task, step->spec->count);
   step->leaves
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -147,59 +148,59 @@
 }
 
 static bool
-step_may_begin (const struct step *step)
+step_is_ready (const struct step *step)
 {
   for (int i = 0; i < step->spec->after_count
-                  && !RST_CELL_FAULT (RST_CELL_FAULT_NO_ORDER);
+                  && !RST_CELL_FAULT (RST_CELL_FAULT_IGNORE_STEP_ORDER);
        i++)
-    if (step->occurrence->steps[step->spec->after[i]].left > 0)
+    if (step->occurrence->steps[step->spec->after[i]].tasks_left > 0)
       return false;
-  return step->waiting > 0;
+  return step->tasks_waiting > 0;
 }
 
 void
-rst_plan_step_ready (struct rst_planner *planner, struct step *step)
+rst_plan_enqueue_step (struct rst_planner *planner, struct step *step)
 {
   planner->changed = true;
   /* A later record may say that the job is over. */
-  if (!planner->restored || step->listed || !step_may_begin (step))
+  if (!planner->restored || step->enqueued || !step_is_ready (step))
     return;
-  step->listed = true;
-  rst_plan_objective (step);
-  g_ptr_array_add (planner->active, step);
+  step->enqueued = true;
+  rst_plan_set_objective (step);
+  g_ptr_array_add (planner->waiting_steps, step);
 }
 
 void
-rst_plan_steps_ready (struct rst_planner *planner,
-                      struct occurrence *occurrence)
+rst_plan_enqueue_steps (struct rst_planner *planner,
+                        struct occurrence *occurrence)
 {
   for (int i = 0; i < occurrence->job->desc->step_count; i++)
-    rst_plan_step_ready (planner, &occurrence->steps[i]);
+    rst_plan_enqueue_step (planner, &occurrence->steps[i]);
 }
 
 /* Begins the occurrences whose time has come. */
 void
-rst_plan_timed (struct rst_planner *planner)
+rst_plan_begin_due_occurrences (struct rst_planner *planner)
 {
-  for (guint i = planner->timed->len; i-- > 0;)
+  for (guint i = planner->repeating_jobs->len; i-- > 0;)
     {
-      struct job *job = g_ptr_array_index (planner->timed, i);
+      struct job *job = g_ptr_array_index (planner->repeating_jobs, i);
 
-      while (!rst_plan_job_over (job)
+      while (!rst_plan_job_has_ended (job)
              && job->next_occurrence < job->desc->repeats
              && job->desc->start_at_ms
                         + job->next_occurrence * job->desc->period_ms
                     <= planner->unix_ms)
-        rst_plan_steps_ready (
+        rst_plan_enqueue_steps (
             planner, rst_plan_occurrence_new (job, job->next_occurrence));
-      if (rst_plan_job_over (job)
+      if (rst_plan_job_has_ended (job)
           || job->next_occurrence >= job->desc->repeats)
-        g_ptr_array_remove_index_fast (planner->timed, i);
+        g_ptr_array_remove_index_fast (planner->repeating_jobs, i);
     }
 }
 
 static void
-unlist_steps (struct rst_planner *planner, struct job *job)
+stop_steps (struct rst_planner *planner, struct job *job)
 {
   for (guint k = 0; k < job->occurrences->len; k++)
     {
@@ -209,18 +210,18 @@
         {
           struct step *step = &occurrence->steps[i];
 
-          if (step->listed)
-            g_ptr_array_remove_fast (planner->active, step);
-          step->listed = false;
+          if (step->enqueued)
+            g_ptr_array_remove_fast (planner->waiting_steps, step);
+          step->enqueued = false;
           for (int t = 0; t < step->spec->count; t++)
             if (step->tasks[t].run != NULL)
-              rst_plan_stop (planner, step->tasks[t].run);
+              rst_plan_stop_run (planner, step->tasks[t].run);
         }
     }
 }
 
 static void
-count_end (struct rst_planner *planner, const struct job *job)
+count_ended_job (struct rst_planner *planner, const struct job *job)
 {
   if (job->state == RST_JOB_FAILED)
     planner->stats.failed++;
@@ -235,19 +236,19 @@
 }
 
 void
-rst_plan_job_end (struct rst_planner *planner, struct job *job,
+rst_plan_end_job (struct rst_planner *planner, struct job *job,
                   enum rst_job_state state)
 {
-  if (rst_plan_job_over (job))
+  if (rst_plan_job_has_ended (job))
     return;
   job->state = state;
   job->ended_at = planner->now;
-  if (!job->begun && job->desc->repeats == 0)
+  if (!job->has_started && job->desc->repeats == 0)
     job->queue->pending--;
-  if (!RST_CELL_FAULT (RST_CELL_FAULT_NO_CANCEL))
-    unlist_steps (planner, job);
+  if (!RST_CELL_FAULT (RST_CELL_FAULT_IGNORE_CANCEL))
+    stop_steps (planner, job);
   rst_plan_mark (planner, job);
-  count_end (planner, job);
+  count_ended_job (planner, job);
   rst_info (RST_PLAN_LOG, "Job ended.", "job", job->id, "state",
             state == RST_JOB_COMPLETED ? "completed"
             : state == RST_JOB_FAILED  ? "failed"
@@ -255,20 +256,21 @@
 }
 
 void
-rst_plan_step_done (struct rst_planner *planner, struct step *step)
+rst_plan_finish_step (struct rst_planner *planner, struct step *step)
 {
   struct occurrence *occurrence = step->occurrence;
   struct job *job = occurrence->job;
 
   occurrence->steps_left--;
-  if (occurrence->steps_left > 0 && !RST_CELL_FAULT (RST_CELL_FAULT_EARLY_END))
+  if (occurrence->steps_left > 0
+      && !RST_CELL_FAULT (RST_CELL_FAULT_EARLY_COMPLETION))
     {
-      rst_plan_steps_ready (planner, occurrence);
+      rst_plan_enqueue_steps (planner, occurrence);
       return;
     }
   job->occurrences_left--;
   if (job->occurrences_left == 0)
-    rst_plan_job_end (planner, job, RST_JOB_COMPLETED);
+    rst_plan_end_job (planner, job, RST_JOB_COMPLETED);
 }
 
 /* A task's name is JOB.OCCURRENCE.STEP.INDEX. */
@@ -296,7 +298,7 @@
   if (step < 0 || step >= job->desc->step_count || index < 0
       || index >= job->desc->steps[step].count)
     return NULL;
-  occurrence = rst_plan_occurrence (job, number);
+  occurrence = rst_plan_find_occurrence (job, number);
   return occurrence != NULL ? &occurrence->steps[step].tasks[index] : NULL;
 }
 
@@ -306,56 +308,59 @@
 {
   struct rst_reply answer = { .outcome = outcome };
 
-  if (outcome == RST_OUTCOME_REFUSED)
-    answer.retry_s = RETRY_SECONDS;
+  if (outcome == RST_OUTCOME_REJECTED)
+    answer.retry_s = RETRY_AFTER_S;
   planner->ops.reply (planner->ops.userdata, call->link, call->number,
                       &answer);
 }
 
 static void
-wait_for_commit (struct job *job, const struct rst_planner_call *call)
+reply_after_commit (struct job *job, const struct rst_planner_call *call)
 {
-  struct waiter waiter = { call->link, call->number, call->operation };
+  struct pending_reply pending_reply
+      = { call->link, call->number, call->operation };
 
-  g_array_append_val (job->waiters, waiter);
+  g_array_append_val (job->pending_replies, pending_reply);
 }
 
 /* Answers those who waited for what is now in the store. */
 void
-rst_plan_answer (struct rst_planner *planner, struct job *job)
+rst_plan_reply_committed (struct rst_planner *planner, struct job *job)
 {
   struct rst_reply answer = { .outcome = RST_OUTCOME_OK };
 
-  for (guint i = job->waiters->len; i-- > 0;)
+  for (guint i = job->pending_replies->len; i-- > 0;)
     {
-      struct waiter waiter = g_array_index (job->waiters, struct waiter, i);
+      struct pending_reply pending_reply
+          = g_array_index (job->pending_replies, struct pending_reply, i);
 
-      if (waiter.operation == RST_OPERATION_CANCEL
-          && job->shown != RST_JOB_CANCELLED && job->shown != RST_JOB_COMPLETED
-          && job->shown != RST_JOB_FAILED)
+      if (pending_reply.operation == RST_OPERATION_CANCEL
+          && job->committed_state != RST_JOB_CANCELLED
+          && job->committed_state != RST_JOB_COMPLETED
+          && job->committed_state != RST_JOB_FAILED)
         continue;
-      planner->ops.reply (planner->ops.userdata, waiter.link, waiter.call,
-                          &answer);
-      g_array_remove_index_fast (job->waiters, i);
+      planner->ops.reply (planner->ops.userdata, pending_reply.link,
+                          pending_reply.call, &answer);
+      g_array_remove_index_fast (job->pending_replies, i);
     }
 }
 
 /* A customer's jobs beyond its weight a second are served after the rest. */
 static bool
-is_beyond_share (struct rst_planner *planner, struct customer *customer)
+is_over_share (struct rst_planner *planner, struct customer *customer)
 {
-  double weight = (double)MAX (customer->set.weight, 1);
-  double passed = (double)(planner->now - customer->tokens_at) / 1000.0;
+  double weight = (double)MAX (customer->settings.weight, 1);
+  double passed = (double)(planner->now - customer->share_tokens_at) / 1000.0;
 
-  if (customer->tokens_at == 0)
-    customer->tokens = weight * SHARE_BURST_S;
+  if (customer->share_tokens_at == 0)
+    customer->share_tokens = weight * SHARE_BURST_S;
   else
-    customer->tokens
-        = MIN (customer->tokens + passed * weight, weight * SHARE_BURST_S);
-  customer->tokens_at = planner->now;
-  if (customer->tokens < 1.0)
+    customer->share_tokens = MIN (customer->share_tokens + passed * weight,
+                                  weight * SHARE_BURST_S);
+  customer->share_tokens_at = planner->now;
+  if (customer->share_tokens < 1.0)
     return true;
-  customer->tokens -= 1.0;
+  customer->share_tokens -= 1.0;
   return false;
 }
 
@@ -367,9 +372,9 @@
 }
 
 static void
-submit (struct rst_planner *planner, const struct rst_planner_call *call,
-        const struct rst_queue *route, struct customer *customer,
-        const char *id)
+submit_job (struct rst_planner *planner, const struct rst_planner_call *call,
+            const struct rst_queue *route, struct customer *customer,
+            const char *id)
 {
   struct job *job = g_hash_table_lookup (planner->jobs, id);
 
@@ -379,27 +384,29 @@
       if (job->stored)
         reply (planner, call, RST_OUTCOME_OK);
       else
-        wait_for_commit (job, call);
+        reply_after_commit (job, call);
       return;
     }
-  job = rst_plan_job_new (planner, id, rst_plan_queue (planner, route->name),
-                          customer, call->desc);
-  job->beyond_share = is_beyond_share (planner, customer);
+  job = rst_plan_job_new (planner, id,
+                          rst_plan_get_queue (planner, route->name), customer,
+                          call->desc);
+  job->over_share = is_over_share (planner, customer);
   if (RST_CELL_FAULT (RST_CELL_FAULT_EARLY_ACCEPT))
     reply (planner, call, RST_OUTCOME_OK);
   else
-    wait_for_commit (job, call);
+    reply_after_commit (job, call);
   rst_plan_mark (planner, job);
   if (job->desc->repeats == 0)
-    rst_plan_steps_ready (planner, rst_plan_occurrence_new (job, 0));
+    rst_plan_enqueue_steps (planner, rst_plan_occurrence_new (job, 0));
   planner->stats.accepted++;
   rst_info (RST_PLAN_LOG, "Job handed in.", "job", id, "queue", route->name,
-            "customer", customer->set.name);
+            "customer", customer->settings.name);
 }
 
 static void
-read_state (struct rst_planner *planner, const struct rst_planner_call *call,
-            const struct queue *queue, const char *id)
+reply_with_state (struct rst_planner *planner,
+                  const struct rst_planner_call *call,
+                  const struct queue *queue, const char *id)
 {
   struct job *job = g_hash_table_lookup (planner->jobs, id);
   struct rst_reply answer = { .outcome = RST_OUTCOME_STATE };
@@ -411,19 +418,19 @@
     }
   else if (job == NULL)
     answer.outcome = RST_OUTCOME_NO_JOB;
-  else if (rst_plan_job_over (job) && job->shown != job->state)
+  else if (rst_plan_job_has_ended (job) && job->committed_state != job->state)
     answer.state = RST_JOB_RUNNING;
-  else if (rst_plan_job_over (job))
+  else if (rst_plan_job_has_ended (job))
     answer.state = job->state;
   else
-    answer.state = job->begun ? RST_JOB_RUNNING : RST_JOB_QUEUED;
+    answer.state = job->has_started ? RST_JOB_RUNNING : RST_JOB_QUEUED;
   planner->ops.reply (planner->ops.userdata, call->link, call->number,
                       &answer);
 }
 
 static void
-cancel (struct rst_planner *planner, const struct rst_planner_call *call,
-        const char *id)
+cancel_job (struct rst_planner *planner, const struct rst_planner_call *call,
+            const char *id)
 {
   struct job *job = g_hash_table_lookup (planner->jobs, id);
 
@@ -432,53 +439,54 @@
       reply (planner, call, RST_OUTCOME_NO_JOB);
       return;
     }
-  rst_plan_job_end (planner, job, RST_JOB_CANCELLED);
-  if (job->shown == job->state)
+  rst_plan_end_job (planner, job, RST_JOB_CANCELLED);
+  if (job->committed_state == job->state)
     reply (planner, call, RST_OUTCOME_OK);
   else
-    wait_for_commit (job, call);
+    reply_after_commit (job, call);
 }
 
 /* Jobs of an open queue belong to a customer without a name. */
 static struct customer *
-caller (struct rst_planner *planner, const struct rst_queue *route,
-        const char *key)
+find_customer (struct rst_planner *planner, const struct rst_queue *route,
+               const char *key)
 {
   const struct rst_customer *customer
       = g_hash_table_lookup (planner->config->keys, key);
 
   if (customer != NULL)
-    return rst_plan_customer (planner, customer->name);
-  return route->is_open ? rst_plan_customer (planner, "") : NULL;
+    return rst_plan_get_customer (planner, customer->name);
+  return route->is_public ? rst_plan_get_customer (planner, "") : NULL;
 }
 
 void
-rst_planner_call (struct rst_planner *planner,
-                  const struct rst_planner_call *call)
+rst_planner_receive_call (struct rst_planner *planner,
+                          const struct rst_planner_call *call)
 {
   const char *id = "";
   const struct rst_queue *route
       = rst_cellconfig_route (planner->config, call->host, call->path, &id);
   struct customer *customer
-      = route != NULL ? caller (planner, route, call->key) : NULL;
+      = route != NULL ? find_customer (planner, route, call->key) : NULL;
 
   planner->changed = true;
   if (route == NULL)
     reply (planner, call, RST_OUTCOME_NO_QUEUE);
   else if (customer == NULL)
-    reply (planner, call, RST_OUTCOME_NO_KEY);
+    reply (planner, call, RST_OUTCOME_INVALID_KEY);
   else if (id[0] != '\0' && !is_job_id (id))
-    reply (planner, call, RST_OUTCOME_BAD);
+    reply (planner, call, RST_OUTCOME_MALFORMED);
   else if (call->operation == RST_OPERATION_READ)
-    read_state (planner, call, rst_plan_queue (planner, route->name), id);
+    reply_with_state (planner, call, rst_plan_get_queue (planner, route->name),
+                      id);
   else if (call->operation == RST_OPERATION_CANCEL)
-    cancel (planner, call, id);
+    cancel_job (planner, call, id);
   else if (call->desc != NULL && id[0] != '\0')
     {
-      submit (planner, call, route, customer, id);
+      submit_job (planner, call, route, customer, id);
       return;
     }
   else
-    reply (planner, call, RST_OUTCOME_BAD);
+    reply (planner, call, RST_OUTCOME_MALFORMED);
   rst_jobdesc_destroy (call->desc);
 }
--- a/src/cell/plan_journal.c
+++ b/src/cell/plan_journal.c
@@ -7,23 +7,23 @@
    all been replaced, or concern what may be forgotten, is removed. */
 
 /** Time in which changes gather for one commit, in milliseconds. */
-#define GATHER_MS 25
+#define COMMIT_INTERVAL_MS 25
 
 /** Segments kept before the oldest are rewritten. */
 #define SEGMENTS_MAX 600
 
 /** Segments removed with one commit; bounded by the store's entries. */
-#define REMOVE_MAX 16
+#define REMOVED_PER_COMMIT_MAX 16
 
 /** Oldest segments whose jobs are written again together. */
-#define REWRITE_SEGMENTS 16
+#define REWRITTEN_SEGMENTS 16
 
 /** Jobs are added to a segment below this size; a quarter of the largest
     value that the store takes, so that one large job more fits too. */
 #define SEGMENT_BYTES_MAX 262144
 
 /** An instance that was not reached for this long is recorded as out. */
-#define OUT_AFTER_MS 300
+#define UNREACHABLE_AFTER_MS 300
 
 void
 rst_plan_mark (struct rst_planner *planner, struct job *job)
@@ -35,7 +35,7 @@
 }
 
 void
-rst_plan_count_segment (struct rst_planner *planner, int64_t segment)
+rst_plan_add_segment (struct rst_planner *planner, int64_t segment)
 {
   int64_t *key = g_new (int64_t, 1);
 
@@ -45,33 +45,35 @@
 
 /* Whether an instance was lost a moment ago and its record has to stay. */
 static gboolean
-is_leaving (gpointer key, gpointer value, gpointer userdata)
+awaits_unreachable_record (gpointer key, gpointer value, gpointer userdata)
 {
   const struct instance *instance = value;
 
   (void)key;
   (void)userdata;
-  return instance->recorded && !instance->known;
+  return instance->recorded && !instance->runs_known;
 }
 
 /* Its record goes with the oldest segments. */
 static void
-rewrite_instance (struct instance *instance)
+invalidate_instance_record (struct instance *instance)
 {
   instance->recorded
-      = !instance->known && g_hash_table_size (instance->runs) > 0;
+      = !instance->runs_known && g_hash_table_size (instance->runs) > 0;
 }
 
 /* Whether old segments are to go now. */
 static bool
-wants_trim (const struct rst_planner *planner)
+should_trim (const struct rst_planner *planner)
 {
   return g_hash_table_size (planner->segments) > SEGMENTS_MAX
-         && g_hash_table_find (planner->instances, is_leaving, NULL) == NULL;
+         && g_hash_table_find (planner->instances, awaits_unreachable_record,
+                               NULL)
+                == NULL;
 }
 
 static int64_t
-oldest_segment (const struct rst_planner *planner)
+find_oldest_segment (const struct rst_planner *planner)
 {
   int64_t oldest = planner->next_segment;
   GHashTableIter iter;
@@ -85,7 +87,7 @@
 
 /* Segments that no job's records stand in any more, oldest first. */
 static int
-choose_removed (const struct rst_planner *planner, int64_t *remove)
+choose_removable (const struct rst_planner *planner, int64_t *remove)
 {
   int64_t needed = planner->next_segment;
   int count = 0;
@@ -97,11 +99,12 @@
     {
       const struct job *job = value;
 
-      if (job->segment_full > 0)
-        needed = MIN (needed, MIN (job->segment_full, job->segment_last));
+      if (job->full_record_segment > 0)
+        needed = MIN (
+            needed, MIN (job->full_record_segment, job->last_record_segment));
     }
-  for (int64_t at = oldest_segment (planner);
-       count < REMOVE_MAX && at < needed; at++)
+  for (int64_t at = find_oldest_segment (planner);
+       count < REMOVED_PER_COMMIT_MAX && at < needed; at++)
     if (g_hash_table_contains (planner->segments, &at))
       remove[count++] = at;
   return count;
@@ -109,9 +112,9 @@
 
 /* Has the jobs of the oldest segments written again, or forgets them. */
 static void
-rewrite_oldest (struct rst_planner *planner)
+rewrite_oldest_jobs (struct rst_planner *planner)
 {
-  int64_t last = oldest_segment (planner) + REWRITE_SEGMENTS;
+  int64_t last = find_oldest_segment (planner) + REWRITTEN_SEGMENTS;
   GHashTableIter iter;
   gpointer value;
 
@@ -120,54 +123,54 @@
     {
       struct job *job = value;
 
-      if (!job->stored || job->rewrite
-          || MIN (job->segment_full, job->segment_last) >= last)
+      if (!job->stored || job->needs_full_record
+          || MIN (job->full_record_segment, job->last_record_segment) >= last)
         continue;
-      if (rst_plan_job_over (job) && !job->dirty
+      if (rst_plan_job_has_ended (job) && !job->dirty
           && !rst_plan_job_has_runs (job)
-          && planner->now - job->ended_at >= planner->bounds.status_ms)
+          && planner->now - job->ended_at >= planner->timing.status_ms)
         {
           g_hash_table_iter_remove (&iter);
           continue;
         }
-      job->rewrite = true;
+      job->needs_full_record = true;
       rst_plan_mark (planner, job);
     }
 }
 
 /* Instances and queues are written again where old segments go. */
 static void
-rewrite_others (struct rst_planner *planner)
+invalidate_instances_and_queues (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init (&iter, planner->instances);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    rewrite_instance (value);
+    invalidate_instance_record (value);
   g_hash_table_iter_init (&iter, planner->queues);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     ((struct queue *)value)->recorded = false;
 }
 
 static bool
-wants_in_record (const struct instance *instance)
+needs_instance_record (const struct instance *instance)
 {
-  return !instance->recorded && instance->present && instance->known;
+  return !instance->recorded && instance->registered && instance->runs_known;
 }
 
 /* A predecessor's instance that was never reached stays as it was. */
 static bool
-wants_out_record (const struct rst_planner *planner,
-                  const struct instance *instance)
+needs_unreachable_record (const struct rst_planner *planner,
+                          const struct instance *instance)
 {
-  return instance->recorded && !instance->known && !instance->inherited
-         && planner->now - instance->unknown_at > OUT_AFTER_MS;
+  return instance->recorded && !instance->runs_known && !instance->inherited
+         && planner->now - instance->runs_unknown_since > UNREACHABLE_AFTER_MS;
 }
 
 /* Writes the instances and queues that have no record yet. */
 static int
-pack_others (struct rst_planner *planner, struct rst_pack *pack)
+pack_instances_and_queues (struct rst_planner *planner, struct rst_pack *pack)
 {
   GHashTableIter iter;
   gpointer value;
@@ -178,16 +181,16 @@
     {
       struct instance *instance = value;
 
-      if (wants_in_record (instance))
+      if (needs_instance_record (instance))
         {
           if (pack != NULL)
             rst_plan_pack_instance (pack, instance);
           count++;
         }
-      else if (wants_out_record (planner, instance))
+      else if (needs_unreachable_record (planner, instance))
         {
           if (pack != NULL)
-            rst_plan_pack_instance_out (planner, pack, instance);
+            rst_plan_pack_unreachable_instance (planner, pack, instance);
           count++;
         }
     }
@@ -196,7 +199,7 @@
     {
       struct queue *queue = value;
 
-      if (queue->recorded || queue->set.pool == NULL)
+      if (queue->recorded || queue->settings.pool == NULL)
         continue;
       if (pack != NULL)
         rst_plan_pack_queue (pack, queue);
@@ -206,7 +209,7 @@
 }
 
 static void
-mark_others (struct rst_planner *planner)
+mark_instances_and_queues (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
@@ -216,9 +219,9 @@
     {
       struct instance *instance = value;
 
-      if (wants_in_record (instance))
+      if (needs_instance_record (instance))
         instance->recording = true;
-      else if (wants_out_record (planner, instance))
+      else if (needs_unreachable_record (planner, instance))
         instance->recorded = false;
     }
   g_hash_table_iter_init (&iter, planner->queues);
@@ -226,13 +229,13 @@
     {
       struct queue *queue = value;
 
-      queue->recorded |= queue->set.pool != NULL;
+      queue->recorded |= queue->settings.pool != NULL;
     }
 }
 
 /* Ends listed up to now may be forgotten with the commit under way. */
 static void
-note_ends (struct rst_planner *planner)
+mark_ends_committing (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
@@ -242,14 +245,14 @@
     {
       struct instance *instance = value;
 
-      instance->committing = instance->seen;
+      instance->committing_end = instance->last_seen_end;
     }
 }
 
 /* Writes changed jobs, the first ones first, as far as a segment holds them.
    Returns their number. */
 static guint
-pack_jobs (struct rst_planner *planner, struct rst_pack *pack)
+pack_dirty_jobs (struct rst_planner *planner, struct rst_pack *pack)
 {
   guint count = 0;
 
@@ -259,11 +262,11 @@
 
       rst_plan_pack_job (planner, pack, job);
       job->dirty = false;
-      job->committing = job->state;
-      job->segment_last = planner->next_segment;
-      if (job->segment_full == 0 || job->rewrite)
-        job->segment_full = planner->next_segment;
-      job->rewrite = false;
+      job->committing_state = job->state;
+      job->last_record_segment = planner->next_segment;
+      if (job->full_record_segment == 0 || job->needs_full_record)
+        job->full_record_segment = planner->next_segment;
+      job->needs_full_record = false;
       g_ptr_array_add (planner->committing, job);
     }
   if (count > 0)
@@ -275,30 +278,30 @@
 static void
 commit_segment (struct rst_planner *planner)
 {
-  int64_t remove[REMOVE_MAX];
+  int64_t remove[REMOVED_PER_COMMIT_MAX];
   struct rst_pack records;
   struct rst_pack pack;
-  bool trims = wants_trim (planner);
+  bool is_trimming = should_trim (planner);
   int removed;
   guint jobs;
   int others;
 
-  if (trims)
-    rewrite_oldest (planner);
-  rst_pack_open (&records);
+  if (is_trimming)
+    rewrite_oldest_jobs (planner);
+  rst_pack_init_sequence (&records);
   /* Jobs first: the record of an instance that is out names tasks, and the
      earlier records of their jobs may go with this commit. */
-  jobs = pack_jobs (planner, &records);
-  removed = trims ? choose_removed (planner, remove) : 0;
+  jobs = pack_dirty_jobs (planner, &records);
+  removed = is_trimming ? choose_removable (planner, remove) : 0;
   if (removed > 0)
-    rewrite_others (planner);
-  others = pack_others (planner, &records);
-  mark_others (planner);
+    invalidate_instances_and_queues (planner);
+  others = pack_instances_and_queues (planner, &records);
+  mark_instances_and_queues (planner);
   rst_pack_init (&pack, jobs + (guint)others);
-  rst_pack_join (&pack, &records);
+  rst_pack_append (&pack, &records);
   for (int i = 0; i < removed; i++)
     g_hash_table_remove (planner->segments, &remove[i]);
-  rst_plan_count_segment (planner, planner->next_segment);
+  rst_plan_add_segment (planner, planner->next_segment);
   planner->commit_busy = true;
   planner->stats.commits++;
   planner->ops.commit (planner->ops.userdata, planner->next_segment,
@@ -316,24 +319,26 @@
 
   if (RST_CELL_FAULT (RST_CELL_FAULT_EARLY_ACK))
     {
-      note_ends (planner);
-      rst_plan_acks (planner);
+      mark_ends_committing (planner);
+      rst_plan_send_acks (planner);
     }
-  if (planner->commit_busy || planner->now - planner->last_commit < GATHER_MS)
+  if (planner->commit_busy
+      || planner->now - planner->last_commit < COMMIT_INTERVAL_MS)
     return;
-  any = planner->dirty->len > 0 || pack_others (planner, NULL) > 0;
-  if (!any && !planner->acks_wait)
+  any = planner->dirty->len > 0
+        || pack_instances_and_queues (planner, NULL) > 0;
+  if (!any && !planner->acks_pending)
     return;
   planner->last_commit = planner->now;
   if (any)
     commit_segment (planner);
   /* Ends whose jobs wait for the next segment are not stored yet. */
-  planner->acks_wait = planner->dirty->len > 0;
-  if (!planner->acks_wait)
-    note_ends (planner);
+  planner->acks_pending = planner->dirty->len > 0;
+  if (!planner->acks_pending)
+    mark_ends_committing (planner);
   /* Nothing of the ends has to last. */
   if (!any)
-    rst_plan_acks (planner);
+    rst_plan_send_acks (planner);
 }
 
 bool
@@ -353,7 +358,7 @@
 }
 
 static void
-set_recorded (struct rst_planner *planner)
+confirm_instance_records (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
@@ -369,21 +374,21 @@
 }
 
 void
-rst_planner_committed (struct rst_planner *planner)
+rst_planner_commit_done (struct rst_planner *planner)
 {
   planner->commit_busy = false;
   planner->changed = true;
   rst_histogram_add (&planner->stats.commit_ms,
                      planner->now - planner->last_commit);
-  set_recorded (planner);
+  confirm_instance_records (planner);
   for (guint i = 0; i < planner->committing->len; i++)
     {
       struct job *job = g_ptr_array_index (planner->committing, i);
 
       job->stored = true;
-      job->shown = job->committing;
-      rst_plan_answer (planner, job);
+      job->committed_state = job->committing_state;
+      rst_plan_reply_committed (planner, job);
     }
   g_ptr_array_set_size (planner->committing, 0);
-  rst_plan_acks (planner);
+  rst_plan_send_acks (planner);
 }
--- a/src/cell/plan_pace.c
+++ b/src/cell/plan_pace.c
@@ -5,40 +5,40 @@
 #include "cell/planner_private.h"
 
 /** Wait of a look at an instance where tasks fill beside tasks that serve. */
-#define SHARED_LOOK_MS 500
+#define SHARED_POLL_WAIT_MS 500
 
 /** Wait of a look at any other instance, the longest that they allow. */
-#define LOOK_MS 2000
+#define POLL_WAIT_MS 2000
 
 static bool
-serves (const struct run *run)
+has_response_bound (const struct run *run)
 {
   return run->task->step->spec->target_ms > 0;
 }
 
 static bool
-fills (const struct run *run)
+best_effort (const struct run *run)
 {
-  return run->task->step->spec->fills;
+  return run->task->step->spec->best_effort;
 }
 
 /* The worst response time of the serving tasks in hundredths of its bound;
    -1 where none serves. */
 static int64_t
-worst_load (const struct instance *instance, bool *has_fillers)
+worst_load (const struct instance *instance, bool *has_best_effort)
 {
   int64_t worst = -1;
   GHashTableIter iter;
   gpointer value;
 
-  *has_fillers = false;
+  *has_best_effort = false;
   g_hash_table_iter_init (&iter, instance->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const struct run *run = value;
 
-      *has_fillers |= fills (run);
-      if (serves (run))
+      *has_best_effort |= best_effort (run);
+      if (has_response_bound (run))
         worst
             = MAX (worst, run->usage * 100 / run->task->step->spec->target_ms);
     }
@@ -46,15 +46,17 @@
 }
 
 static void
-send_wait (struct rst_planner *planner, struct instance *instance,
-           int64_t wait_ms)
+send_poll_wait (struct rst_planner *planner, struct instance *instance,
+                int64_t wait_ms)
 {
-  int64_t told = instance->look_ms != 0 ? instance->look_ms : LOOK_MS;
+  int64_t current_ms
+      = instance->poll_wait_ms != 0 ? instance->poll_wait_ms : POLL_WAIT_MS;
 
-  if (told == wait_ms)
+  if (current_ms == wait_ms)
     return;
-  instance->look_ms = wait_ms;
-  rst_plan_send_id (planner, instance, RST_MSG_WATCH, wait_ms);
+  instance->poll_wait_ms = wait_ms;
+  rst_plan_send_to_instance (planner, instance, RST_MSG_SET_POLL_WAIT,
+                             wait_ms);
 }
 
 static void
@@ -70,7 +72,7 @@
   rst_pack_int (&pack, run->attempt);
   rst_pack_int (&pack, run->pace);
   rst_plan_send (planner, instance->agent->link, &pack);
-  planner->stats.paced++;
+  planner->stats.pace_orders++;
 }
 
 static void
@@ -89,16 +91,16 @@
 
 /* An order on the pace may get lost; while a run is slowed it is repeated. */
 static void
-pace_run (struct rst_planner *planner, struct run *run, int64_t load)
+adjust_run_pace (struct rst_planner *planner, struct run *run, int64_t load)
 {
-  int next = rst_pace_next (run->pace, load);
+  int next = rst_pace_adjust (run->pace, load);
 
-  if (planner->now - run->paced_at < RST_PACE_EVERY_MS
-      || (next == run->pace && next == RST_PACE_FULL))
+  if (planner->now - run->pace_sent_at < RST_PACE_INTERVAL_MS
+      || (next == run->pace && next == RST_PACE_FULL_PERCENT))
     return;
-  run->paced_at = planner->now;
+  run->pace_sent_at = planner->now;
   /* A slowed run that makes no progress is not stuck. */
-  run->moved_at = planner->now;
+  run->progressed_at = planner->now;
   if (next != run->pace)
     {
       run->pace = next;
@@ -108,21 +110,22 @@
 }
 
 void
-rst_plan_pace (struct rst_planner *planner, struct instance *instance)
+rst_plan_adjust_pace (struct rst_planner *planner, struct instance *instance)
 {
-  bool has_fillers;
-  int64_t load = worst_load (instance, &has_fillers);
+  bool has_best_effort;
+  int64_t load = worst_load (instance, &has_best_effort);
   GHashTableIter iter;
   gpointer value;
 
   if (instance->agent == NULL)
     return;
-  send_wait (planner, instance,
-             has_fillers && load >= 0 ? SHARED_LOOK_MS : LOOK_MS);
-  if (!has_fillers)
+  send_poll_wait (planner, instance,
+                  has_best_effort && load >= 0 ? SHARED_POLL_WAIT_MS
+                                               : POLL_WAIT_MS);
+  if (!has_best_effort)
     return;
   g_hash_table_iter_init (&iter, instance->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (fills (value) && ((struct run *)value)->state == RUN_RUNNING)
-      pace_run (planner, value, MAX (load, 0));
+    if (best_effort (value) && ((struct run *)value)->state == RUN_RUNNING)
+      adjust_run_pace (planner, value, MAX (load, 0));
 }
--- a/src/cell/plan_place.c
+++ b/src/cell/plan_place.c
@@ -4,43 +4,43 @@
 #include "cell/planner_private.h"
 
 /** Gangs that may keep room free for themselves at once. */
-#define KEEPING_GANGS_MAX 3
+#define RESERVING_GANGS_MAX 3
 
 /** A job is given up as late after this multiple of its objective. */
-#define LATE_FACTOR 3
+#define MISSED_OBJECTIVE_FACTOR 3
 
 /* Rank bands: what may still earn its full worth, what is late, what is
    beyond the customer's share, what can't earn any more. */
-#define BAND_LATE ((int64_t)1 << 50)
-#define BAND_BEYOND ((int64_t)1 << 51)
-#define BAND_LOST ((int64_t)1 << 52)
-#define BAND_PRIORITY ((int64_t)1 << 45)
+#define RANK_BAND_LATE ((int64_t)1 << 50)
+#define RANK_BAND_OVER_SHARE ((int64_t)1 << 51)
+#define RANK_BAND_MISSED ((int64_t)1 << 52)
+#define RANK_BAND_PRIORITY ((int64_t)1 << 45)
 
 int
-rst_plan_slots (const struct instance *instance, const struct step *step)
+rst_plan_count_slots (const struct instance *instance, const struct step *step)
 {
-  struct rst_need need = rst_step_need (step->spec);
-  struct rst_need left = instance->entry.room;
+  struct rst_resources need = rst_step_get_task_need (step->spec);
+  struct rst_resources left = instance->entry.capacity;
   int64_t slots = step->spec->count;
 
-  if (RST_CELL_FAULT (RST_CELL_FAULT_NO_ROOM))
+  if (RST_CELL_FAULT (RST_CELL_FAULT_IGNORE_CAPACITY))
     return (int)slots;
-  rst_need_add (&left, &instance->used, -1);
-  rst_need_add (&left, &instance->kept, -1);
+  rst_resources_add (&left, &instance->used, -1);
+  rst_resources_add (&left, &instance->reserved, -1);
   if (need.cpu > 0)
     slots = MIN (slots, left.cpu / need.cpu);
   if (need.memory > 0)
     slots = MIN (slots, left.memory / need.memory);
   if (need.gpu > 0)
     slots = MIN (slots, left.gpu / need.gpu);
-  if (step->spec->per_instance > 0)
-    slots = MIN (slots, step->spec->per_instance);
+  if (step->spec->max_per_instance > 0)
+    slots = MIN (slots, step->spec->max_per_instance);
   return (int)MAX (slots, 0);
 }
 
 /* Tasks of the step that an instance runs already. */
 static int
-tasks_on (const struct instance *instance, const struct step *step)
+count_tasks_on (const struct instance *instance, const struct step *step)
 {
   int count = 0;
 
@@ -51,23 +51,24 @@
 }
 
 bool
-rst_plan_fits (const struct instance *instance, const struct step *step)
+rst_plan_task_fits (const struct instance *instance, const struct step *step)
 {
-  if (rst_plan_slots (instance, step) < 1)
+  if (rst_plan_count_slots (instance, step) < 1)
     return false;
-  return step->spec->per_instance == 0
-         || tasks_on (instance, step) < step->spec->per_instance;
+  return step->spec->max_per_instance == 0
+         || count_tasks_on (instance, step) < step->spec->max_per_instance;
 }
 
 /* Whether a step's tasks may run there at all, room aside.  The instance is
    one that takes starts. */
 bool
-rst_plan_allowed (const struct instance *instance, const struct step *step)
+rst_plan_instance_is_eligible (const struct instance *instance,
+                               const struct step *step)
 {
   const struct queue *queue = step->occurrence->job->queue;
 
-  if (queue->set.pool == NULL
-      || strcmp (queue->set.pool, instance->entry.pool) != 0)
+  if (queue->settings.pool == NULL
+      || strcmp (queue->settings.pool, instance->entry.pool) != 0)
     return false;
   return step->spec->label[0] == '\0'
          || rst_instance_entry_has_label (&instance->entry, step->spec->label);
@@ -75,29 +76,30 @@
 
 /* Estimates are rough; the queue's own run times say as much. */
 static double
-expected_ms (const struct job *job, int index)
+expected_run_ms (const struct job *job, int index)
 {
   double said = (double)job->desc->steps[index].estimate_ms;
 
-  return job->queue->run_ms > 0.0 ? (said + job->queue->run_ms) / 2.0 : said;
+  return job->queue->mean_run_ms > 0.0 ? (said + job->queue->mean_run_ms) / 2.0
+                                       : said;
 }
 
 /* Time that a step and those behind it still take at the least. */
 static double
-remaining_ms (const struct step *step)
+remaining_path_ms (const struct step *step)
 {
   const struct job *job = step->occurrence->job;
-  double longest = expected_ms (job, step->index);
+  double longest = expected_run_ms (job, step->index);
 
   for (int i = step->index + 1; i < job->desc->step_count; i++)
     for (int k = 0; k < job->desc->steps[i].after_count; k++)
       if (job->desc->steps[i].after[k] >= step->index)
-        longest += expected_ms (job, i);
+        longest += expected_run_ms (job, i);
   return longest;
 }
 
 static double
-chain_ms (const struct job *job)
+critical_path_ms (const struct job *job)
 {
   double ends[RST_STEPS_MAX] = { 0 };
   double longest = 0.0;
@@ -108,7 +110,7 @@
 
       for (int k = 0; k < step->after_count; k++)
         ends[i] = MAX (ends[i], ends[step->after[k]]);
-      ends[i] += expected_ms (job, i);
+      ends[i] += expected_run_ms (job, i);
       longest = MAX (longest, ends[i]);
     }
   return longest;
@@ -116,16 +118,16 @@
 
 /* Sets when a step has to start for its job to be on time. */
 void
-rst_plan_objective (struct step *step)
+rst_plan_set_objective (struct step *step)
 {
   const struct job *job = step->occurrence->job;
-  const struct rst_queue *queue = &job->queue->set;
+  const struct rst_queue *queue = &job->queue->settings;
 
   step->objective_ms
-      = (int64_t)(chain_ms (job) * (double)queue->slack / 1000.0)
+      = (int64_t)(critical_path_ms (job) * (double)queue->slack / 1000.0)
         + queue->target_ms;
   step->start_by_ms = step->occurrence->due_ms + step->objective_ms
-                      - (int64_t)remaining_ms (step);
+                      - (int64_t)remaining_path_ms (step);
 }
 
 /* What can still be on time comes first, by priority and the latest moment
@@ -134,26 +136,27 @@
 rank (const struct rst_planner *planner, const struct step *step)
 {
   const struct job *job = step->occurrence->job;
-  const struct rst_queue *queue = &job->queue->set;
-  int64_t value = step->start_by_ms - planner->unix_ms + BAND_PRIORITY / 2;
-  int64_t urgent = queue->priority == 0 ? 0 : BAND_PRIORITY;
+  const struct rst_queue *queue = &job->queue->settings;
+  int64_t value
+      = step->start_by_ms - planner->unix_ms + RANK_BAND_PRIORITY / 2;
+  int64_t urgent = queue->priority == 0 ? 0 : RANK_BAND_PRIORITY;
 
-  if (planner->order == RST_ORDER_FIFO)
+  if (planner->order == RST_STEP_ORDER_FIFO)
     return step->occurrence->due_ms;
-  if (step->spec->lasting)
+  if (step->spec->long_running)
     return 0;
-  if (planner->unix_ms
-      > step->occurrence->due_ms + LATE_FACTOR * step->objective_ms)
-    return BAND_LOST + value;
-  if (job->beyond_share)
-    return BAND_BEYOND + value;
+  if (planner->unix_ms > step->occurrence->due_ms
+                             + MISSED_OBJECTIVE_FACTOR * step->objective_ms)
+    return RANK_BAND_MISSED + value;
+  if (job->over_share)
+    return RANK_BAND_OVER_SHARE + value;
   if (planner->unix_ms > step->start_by_ms)
-    return BAND_LATE + urgent + value;
+    return RANK_BAND_LATE + urgent + value;
   return urgent + value;
 }
 
 static gint
-by_rank (gconstpointer a, gconstpointer b)
+compare_ranks (gconstpointer a, gconstpointer b)
 {
   const struct step *left = *(struct step *const *)a;
   const struct step *right = *(struct step *const *)b;
@@ -163,7 +166,7 @@
 
 /* Any number, the same for the same two. */
 static double
-any_number (const struct instance *instance, const struct task *task)
+pseudo_random_score (const struct instance *instance, const struct task *task)
 {
   guint mixed = g_str_hash (instance->entry.id) * 2654435761u
                 ^ (guint)(task->index * 40503 + task->step->rank);
@@ -173,12 +176,12 @@
 
 /* Lower is better: the tightest fit that suits the step. */
 static double
-score (const struct instance *instance, const struct step *step,
-       const struct task *task)
+best_fit_score (const struct instance *instance, const struct step *step,
+                const struct task *task)
 {
-  double left = (double)(instance->entry.room.cpu - instance->used.cpu
+  double left = (double)(instance->entry.capacity.cpu - instance->used.cpu
                          - step->spec->need.cpu)
-                / (double)MAX (instance->entry.room.cpu, 1);
+                / (double)MAX (instance->entry.capacity.cpu, 1);
   double total = left;
 
   if (task != NULL && task->bad == instance)
@@ -197,51 +200,51 @@
   switch (planner->fit)
     {
     case RST_FIT_FIRST:
-      return (double)instance->position;
+      return (double)instance->pass_index;
     case RST_FIT_RANDOM:
-      return any_number (instance, task);
+      return pseudo_random_score (instance, task);
     default:
-      return score (instance, step, task);
+      return best_fit_score (instance, step, task);
     }
 }
 
 /* Instances that the step may use as far as advice goes.  An advised step
    names few, so that a long queue costs little. */
 static const GPtrArray *
-find_places (struct rst_planner *planner, const struct step *step)
+find_candidates (struct rst_planner *planner, const struct step *step)
 {
   GHashTableIter iter;
   gpointer id;
 
-  if (!step->occurrence->job->queue->set.advised)
+  if (!step->occurrence->job->queue->settings.needs_approval)
     return planner->usable;
-  g_ptr_array_set_size (planner->places, 0);
+  g_ptr_array_set_size (planner->candidates, 0);
   g_hash_table_iter_init (&iter, step->leaves);
   while (g_hash_table_iter_next (&iter, &id, NULL))
     {
       struct instance *instance = g_hash_table_lookup (planner->instances, id);
 
       if (instance != NULL && instance->usable
-          && rst_plan_ticket (planner, step, instance) != NULL)
-        g_ptr_array_add (planner->places, instance);
+          && rst_plan_find_ticket (planner, step, instance) != NULL)
+        g_ptr_array_add (planner->candidates, instance);
     }
-  return planner->places;
+  return planner->candidates;
 }
 
 static struct instance *
-choose (struct rst_planner *planner, const GPtrArray *places,
-        const struct step *step, const struct task *task)
+choose_instance (struct rst_planner *planner, const GPtrArray *candidates,
+                 const struct step *step, const struct task *task)
 {
   struct instance *best = NULL;
   double best_score = 0.0;
 
-  for (guint i = 0; i < places->len; i++)
+  for (guint i = 0; i < candidates->len; i++)
     {
-      struct instance *instance = g_ptr_array_index (places, i);
+      struct instance *instance = g_ptr_array_index (candidates, i);
       double now;
 
-      if (!rst_plan_fits (instance, step)
-          || !rst_plan_allowed (instance, step))
+      if (!rst_plan_task_fits (instance, step)
+          || !rst_plan_instance_is_eligible (instance, step))
         continue;
       now = fit_score (planner, instance, step, task);
       if (best == NULL || now < best_score)
@@ -254,17 +257,17 @@
 }
 
 static bool
-may_start (const struct rst_planner *planner, const struct task *task)
+task_may_start (const struct rst_planner *planner, const struct task *task)
 {
   return !task->done && task->run == NULL
-         && !(task->unsure && planner->unsure_left);
+         && !(task->in_doubt && planner->has_inherited);
 }
 
 /* Returns how many tasks found no place. */
 static int
 place_tasks (struct rst_planner *planner, struct step *step)
 {
-  const GPtrArray *places = find_places (planner, step);
+  const GPtrArray *candidates = find_candidates (planner, step);
   int left = 0;
 
   for (int i = 0; i < step->spec->count; i++)
@@ -272,21 +275,22 @@
       struct task *task = &step->tasks[i];
       struct instance *instance;
 
-      if (!may_start (planner, task))
+      if (!task_may_start (planner, task))
         continue;
-      if (!rst_plan_below_limit (step, 1))
+      if (!rst_plan_is_below_limit (step, 1))
         return 0;
-      instance = left == 0 ? choose (planner, places, step, task) : NULL;
+      instance = left == 0 ? choose_instance (planner, candidates, step, task)
+                           : NULL;
       if (instance == NULL)
         left++;
       else
-        rst_plan_start (planner, task, instance, task->attempt + 1,
-                        rst_plan_ticket (planner, step, instance));
+        rst_plan_start_task (planner, task, instance, task->attempt + 1,
+                             rst_plan_find_ticket (planner, step, instance));
     }
   return left;
 }
 
-struct share
+struct instance_slots
 {
   struct instance *instance;
   int slots;
@@ -294,40 +298,46 @@
 
 /* Instances with leave for the step and their free places. */
 static GArray *
-gang_shares (struct rst_planner *planner, const struct step *step, int *total)
+find_gang_slots (struct rst_planner *planner, const struct step *step,
+                 int *total)
 {
-  GArray *shares = g_array_new (FALSE, FALSE, sizeof (struct share));
-  const GPtrArray *places = find_places (planner, step);
+  GArray *gang_slots
+      = g_array_new (FALSE, FALSE, sizeof (struct instance_slots));
+  const GPtrArray *candidates = find_candidates (planner, step);
 
   *total = 0;
-  for (guint i = 0; i < places->len; i++)
+  for (guint i = 0; i < candidates->len; i++)
     {
-      struct share share = { g_ptr_array_index (places, i), 0 };
+      struct instance_slots instance_slots
+          = { g_ptr_array_index (candidates, i), 0 };
 
-      share.slots = rst_plan_slots (share.instance, step);
-      if (share.slots == 0 || !rst_plan_allowed (share.instance, step))
+      instance_slots.slots
+          = rst_plan_count_slots (instance_slots.instance, step);
+      if (instance_slots.slots == 0
+          || !rst_plan_instance_is_eligible (instance_slots.instance, step))
         continue;
-      *total += share.slots;
-      g_array_append_val (shares, share);
+      *total += instance_slots.slots;
+      g_array_append_val (gang_slots, instance_slots);
     }
-  return shares;
+  return gang_slots;
 }
 
 static gint
-by_slots (gconstpointer a, gconstpointer b)
+compare_slots (gconstpointer a, gconstpointer b)
 {
-  return ((const struct share *)b)->slots - ((const struct share *)a)->slots;
+  return ((const struct instance_slots *)b)->slots
+         - ((const struct instance_slots *)a)->slots;
 }
 
 static bool
-gang_is_free (struct rst_planner *planner, struct step *step)
+gang_may_start (struct rst_planner *planner, struct step *step)
 {
   for (int i = 0; i < step->spec->count; i++)
     {
       const struct task *task = &step->tasks[i];
 
       if (task->run != NULL || task->done
-          || (task->unsure && planner->unsure_left))
+          || (task->in_doubt && planner->has_inherited))
         return false;
     }
   step->gang_stopping = false;
@@ -335,7 +345,7 @@
 }
 
 static void
-start_gang (struct rst_planner *planner, struct step *step, GArray *shares)
+start_gang (struct rst_planner *planner, struct step *step, GArray *gang_slots)
 {
   int next = 0;
   int attempt = step->gang_attempt;
@@ -343,28 +353,32 @@
   for (int i = 0; i < step->spec->count; i++)
     attempt = MAX (attempt, step->tasks[i].attempt);
   step->gang_attempt = attempt + 1;
-  for (guint i = 0; i < shares->len && next < step->spec->count; i++)
+  for (guint i = 0; i < gang_slots->len && next < step->spec->count; i++)
     {
-      struct share share = g_array_index (shares, struct share, i);
-
-      for (int k = 0; k < share.slots && next < step->spec->count; k++)
-        rst_plan_start (planner, &step->tasks[next++], share.instance,
-                        step->gang_attempt,
-                        rst_plan_ticket (planner, step, share.instance));
+      struct instance_slots instance_slots
+          = g_array_index (gang_slots, struct instance_slots, i);
+
+      for (int k = 0; k < instance_slots.slots && next < step->spec->count;
+           k++)
+        rst_plan_start_task (
+            planner, &step->tasks[next++], instance_slots.instance,
+            step->gang_attempt,
+            rst_plan_find_ticket (planner, step, instance_slots.instance));
     }
 }
 
 void
-rst_plan_keep (struct instance *instance, const struct step *step, int slots)
+rst_plan_reserve_slots (struct instance *instance, const struct step *step,
+                        int slots)
 {
-  struct rst_need need = rst_step_need (step->spec);
+  struct rst_resources need = rst_step_get_task_need (step->spec);
 
-  rst_need_add (&instance->kept, &need, slots);
+  rst_resources_add (&instance->reserved, &need, slots);
 }
 
 /* Holds free room back for a gang that comes next but doesn't fit yet. */
 static void
-keep_room (struct rst_planner *planner, const struct step *step)
+reserve_for_gang (struct rst_planner *planner, const struct step *step)
 {
   const struct queue *queue = step->occurrence->job->queue;
   int wanted = step->spec->count;
@@ -376,42 +390,45 @@
           = g_hash_table_lookup (step->leaves, instance->entry.id);
       int slots;
 
-      if (!rst_plan_allowed (instance, step)
-          || (queue->set.advised && (leave == NULL || leave->denied)))
+      if (!rst_plan_instance_is_eligible (instance, step)
+          || (queue->settings.needs_approval
+              && (leave == NULL || leave->rejected)))
         continue;
-      slots = MIN (rst_plan_slots (instance, step), wanted);
+      slots = MIN (rst_plan_count_slots (instance, step), wanted);
       wanted -= slots;
-      rst_plan_keep (instance, step, slots);
+      rst_plan_reserve_slots (instance, step, slots);
     }
 }
 
 /* Returns how many tasks found no place: all or none. */
 static int
-place_gang (struct rst_planner *planner, struct step *step, int *keeping)
+place_gang (struct rst_planner *planner, struct step *step,
+            int *reserving_gangs)
 {
-  GArray *shares;
+  GArray *gang_slots;
   int total;
   int left = 0;
 
-  if (!gang_is_free (planner, step)
-      || !rst_plan_below_limit (step, step->spec->count))
+  if (!gang_may_start (planner, step)
+      || !rst_plan_is_below_limit (step, step->spec->count))
     return 0;
-  shares = gang_shares (planner, step, &total);
+  gang_slots = find_gang_slots (planner, step, &total);
   if (total >= step->spec->count)
     {
-      g_array_sort (shares, by_slots);
-      start_gang (planner, step, shares);
+      g_array_sort (gang_slots, compare_slots);
+      start_gang (planner, step, gang_slots);
     }
   else
     {
       left = step->spec->count;
-      if (*keeping < KEEPING_GANGS_MAX && step->rank < BAND_LATE)
+      if (*reserving_gangs < RESERVING_GANGS_MAX
+          && step->rank < RANK_BAND_LATE)
         {
-          ++*keeping;
-          keep_room (planner, step);
+          ++*reserving_gangs;
+          reserve_for_gang (planner, step);
         }
     }
-  g_array_free (shares, TRUE);
+  g_array_free (gang_slots, TRUE);
   return left;
 }
 
@@ -419,20 +436,20 @@
 static void
 begin_pass (struct rst_planner *planner)
 {
-  static const struct rst_need none;
+  static const struct rst_resources none;
   GHashTableIter iter;
   gpointer value;
 
   g_ptr_array_set_size (planner->usable, 0);
-  g_array_set_size (planner->full, 0);
+  g_array_set_size (planner->unmet_needs, 0);
   g_hash_table_iter_init (&iter, planner->instances);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       struct instance *instance = value;
 
-      instance->kept = none;
-      instance->usable = rst_plan_usable (planner, instance);
-      instance->position = planner->usable->len;
+      instance->reserved = none;
+      instance->usable = rst_plan_instance_is_schedulable (planner, instance);
+      instance->pass_index = planner->usable->len;
       if (instance->usable)
         g_ptr_array_add (planner->usable, instance);
     }
@@ -440,79 +457,84 @@
 
 /* Whether as small a need found no room earlier in this pass. */
 static bool
-is_known_full (const struct rst_planner *planner, const struct step *step)
+is_known_unplaceable (const struct rst_planner *planner,
+                      const struct step *step)
 {
-  const struct rst_need *need = &step->spec->need;
+  const struct rst_resources *need = &step->spec->need;
 
-  for (guint i = 0; i < planner->full->len; i++)
+  for (guint i = 0; i < planner->unmet_needs->len; i++)
     {
-      const struct rst_need *full
-          = &g_array_index (planner->full, struct rst_need, i);
+      const struct rst_resources *unmet_needs
+          = &g_array_index (planner->unmet_needs, struct rst_resources, i);
 
-      if (need->cpu >= full->cpu && need->memory >= full->memory
-          && need->gpu >= full->gpu)
+      if (need->cpu >= unmet_needs->cpu && need->memory >= unmet_needs->memory
+          && need->gpu >= unmet_needs->gpu)
         return true;
     }
   return false;
 }
 
 static bool
-has_room (struct rst_planner *planner, const struct step *step)
+has_room_for_step (struct rst_planner *planner, const struct step *step)
 {
-  if (step->spec->fills)
+  if (step->spec->best_effort)
     return true;
-  if (is_known_full (planner, step))
+  if (is_known_unplaceable (planner, step))
     return false;
   for (guint i = 0; i < planner->usable->len; i++)
-    if (rst_plan_slots (g_ptr_array_index (planner->usable, i), step) > 0)
+    if (rst_plan_count_slots (g_ptr_array_index (planner->usable, i), step)
+        > 0)
       return true;
-  if (step->spec->per_instance == 0)
-    g_array_append_val (planner->full, step->spec->need);
+  if (step->spec->max_per_instance == 0)
+    g_array_append_val (planner->unmet_needs, step->spec->need);
   return false;
 }
 
 static void
-place_step (struct rst_planner *planner, struct step *step, int *keeping)
+place_step (struct rst_planner *planner, struct step *step,
+            int *reserving_gangs)
 {
   const struct job *job = step->occurrence->job;
-  bool learns = step->spec->gang && !step->asked && job->queue->set.advised;
+  bool is_first_gang_request = step->spec->gang && !step->advice_requested
+                               && job->queue->settings.needs_approval;
   int left;
 
-  if (!learns && !has_room (planner, step))
+  if (!is_first_gang_request && !has_room_for_step (planner, step))
     return;
   /* While the job is being stored, advice can be on its way. */
   if (!job->stored)
-    left = step->asked ? 0 : step->waiting;
+    left = step->advice_requested ? 0 : step->tasks_waiting;
   else if (step->spec->gang)
-    left = place_gang (planner, step, keeping);
+    left = place_gang (planner, step, reserving_gangs);
   else
     left = place_tasks (planner, step);
-  if (left == 0 || !job->queue->set.advised)
+  if (left == 0 || !job->queue->settings.needs_approval)
     return;
   if (step->ask != NULL)
-    rst_plan_keep_asked (planner, step, left);
+    rst_plan_reserve_requested (planner, step, left);
   else
-    rst_plan_ask (planner, step, left);
+    rst_plan_request_advice (planner, step, left);
 }
 
 void
-rst_plan_place (struct rst_planner *planner)
+rst_plan_place_steps (struct rst_planner *planner)
 {
-  int keeping = 0;
+  int reserving_gangs = 0;
 
-  for (guint i = planner->active->len; i-- > 0;)
+  for (guint i = planner->waiting_steps->len; i-- > 0;)
     {
-      struct step *step = g_ptr_array_index (planner->active, i);
+      struct step *step = g_ptr_array_index (planner->waiting_steps, i);
 
       step->rank = rank (planner, step);
-      if (step->waiting > 0)
+      if (step->tasks_waiting > 0)
         continue;
-      step->listed = false;
-      g_ptr_array_remove_index_fast (planner->active, i);
+      step->enqueued = false;
+      g_ptr_array_remove_index_fast (planner->waiting_steps, i);
     }
-  g_ptr_array_sort (planner->active, by_rank);
+  g_ptr_array_sort (planner->waiting_steps, compare_ranks);
   begin_pass (planner);
-  rst_plan_count_unsure (planner);
-  for (guint i = 0; i < planner->active->len; i++)
-    place_step (planner, g_ptr_array_index (planner->active, i), &keeping);
+  rst_plan_count_in_doubt (planner);
+  for (guint i = 0; i < planner->waiting_steps->len; i++)
+    place_step (planner, g_ptr_array_index (planner->waiting_steps, i),
+                &reserving_gangs);
 }
--- a/src/cell/plan_record.c
+++ b/src/cell/plan_record.c
@@ -5,7 +5,7 @@
 
 /** How long the steps of a job that is over are written along, in
     milliseconds; above the time after which every lease has run out. */
-#define STEPS_KEEP_MS 15000
+#define STEPS_RETENTION_MS 15000
 
 static void
 add_number (GByteArray *bytes, int number)
@@ -25,16 +25,16 @@
   for (int i = 0; i < step->spec->count; i++)
     {
       const struct task *task = &step->tasks[i];
-      int failed = MIN (task->failed, RST_FAILED_MAX);
-      guint8 head[2] = { 0, (guint8)failed };
+      int failed_runs = MIN (task->failed_runs, RST_FAILED_RUNS_MAX);
+      guint8 head[2] = { 0, (guint8)failed_runs };
 
       if (task->done)
         head[0] |= RST_TASK_DONE_FLAG;
-      if (step->occurrence->job->begun)
-        head[0] |= RST_TASK_BEGUN_FLAG;
+      if (step->occurrence->job->has_started)
+        head[0] |= RST_TASK_STARTED_FLAG;
       g_byte_array_append (bytes, head, sizeof head);
       add_number (bytes, task->attempt);
-      for (int k = 0; k < failed; k++)
+      for (int k = 0; k < failed_runs; k++)
         add_number (bytes, task->failed_attempts[k]);
     }
   rst_pack_bytes (pack, bytes->data, bytes->len);
@@ -44,7 +44,7 @@
 static void
 pack_progress (struct rst_pack *pack, const struct job *job)
 {
-  bool over = rst_plan_job_over (job);
+  bool over = rst_plan_job_has_ended (job);
 
   rst_pack_array (pack, 4);
   rst_pack_int (pack, job->state);
@@ -65,55 +65,55 @@
 
 /* What is left to know of a job that is over and whose runs have ended. */
 static void
-pack_job_over (struct rst_pack *pack, const struct job *job)
+pack_ended_job (struct rst_pack *pack, const struct job *job)
 {
   rst_pack_array (pack, 6);
   rst_pack_int (pack, RST_RECORD_JOB_OVER);
   rst_pack_text (pack, job->id);
-  rst_pack_text (pack, job->queue->set.name);
-  rst_pack_text (pack, job->customer->set.name);
+  rst_pack_text (pack, job->queue->settings.name);
+  rst_pack_text (pack, job->customer->settings.name);
   rst_pack_int (pack, job->submitted_ms);
   rst_pack_int (pack, job->state);
 }
 
 static void
-pack_job_whole (struct rst_pack *pack, const struct job *job)
+pack_full_job (struct rst_pack *pack, const struct job *job)
 {
   rst_pack_array (pack, 8);
   rst_pack_int (pack, RST_RECORD_JOB);
   rst_pack_text (pack, job->id);
-  rst_pack_text (pack, job->queue->set.name);
-  rst_pack_text (pack, job->customer->set.name);
+  rst_pack_text (pack, job->queue->settings.name);
+  rst_pack_text (pack, job->customer->settings.name);
   rst_pack_int (pack, job->submitted_ms);
-  rst_pack_int (pack, job->beyond_share ? 1 : 0);
+  rst_pack_int (pack, job->over_share ? 1 : 0);
   rst_jobdesc_pack (pack, job->desc);
   pack_progress (pack, job);
 }
 
 /* A job that was read without its steps has none to write. */
 static bool
-may_leave_steps_out (const struct rst_planner *planner, const struct job *job)
+can_omit_steps (const struct rst_planner *planner, const struct job *job)
 {
   return job->desc->step_count == 0
-         || (rst_plan_job_over (job) && !rst_plan_job_has_runs (job)
-             && planner->now - job->ended_at > STEPS_KEEP_MS);
+         || (rst_plan_job_has_ended (job) && !rst_plan_job_has_runs (job)
+             && planner->now - job->ended_at > STEPS_RETENTION_MS);
 }
 
 void
 rst_plan_pack_job (const struct rst_planner *planner, struct rst_pack *pack,
                    const struct job *job)
 {
-  if (job->segment_full > 0 && !job->rewrite)
+  if (job->full_record_segment > 0 && !job->needs_full_record)
     {
       rst_pack_array (pack, 3);
       rst_pack_int (pack, RST_RECORD_PROGRESS);
       rst_pack_text (pack, job->id);
       pack_progress (pack, job);
     }
-  else if (may_leave_steps_out (planner, job))
-    pack_job_over (pack, job);
+  else if (can_omit_steps (planner, job))
+    pack_ended_job (pack, job);
   else
-    pack_job_whole (pack, job);
+    pack_full_job (pack, job);
 }
 
 void
@@ -128,9 +128,9 @@
 
 /* An instance that can't be reached: what it may run, and until when. */
 void
-rst_plan_pack_instance_out (const struct rst_planner *planner,
-                            struct rst_pack *pack,
-                            const struct instance *instance)
+rst_plan_pack_unreachable_instance (const struct rst_planner *planner,
+                                    struct rst_pack *pack,
+                                    const struct instance *instance)
 {
   GHashTableIter iter;
   gpointer value;
@@ -140,7 +140,8 @@
   rst_pack_text (pack, instance->entry.id);
   rst_pack_text (pack, instance->entry.address);
   rst_pack_text (pack, instance->entry.zone);
-  rst_pack_int (pack, planner->unix_ms + (instance->lapse_at - planner->now));
+  rst_pack_int (pack, planner->unix_ms
+                          + (instance->lease_expires_at - planner->now));
   rst_pack_array (pack, g_hash_table_size (instance->runs));
   g_hash_table_iter_init (&iter, instance->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -158,13 +159,14 @@
 {
   rst_pack_array (pack, 10);
   rst_pack_int (pack, RST_RECORD_QUEUE);
-  rst_pack_text (pack, queue->set.name);
-  rst_pack_text (pack, queue->set.pool);
-  rst_pack_int (pack, queue->set.priority);
-  rst_pack_int (pack, queue->set.attempts);
-  rst_pack_int (pack, queue->set.slack);
-  rst_pack_int (pack, queue->set.target_ms);
-  rst_pack_int (pack, queue->set.advised ? queue->set.advice_ms : -1);
-  rst_pack_int (pack, queue->set.advice_each_us);
-  rst_pack_int (pack, queue->set.advice_valid_ms);
+  rst_pack_text (pack, queue->settings.name);
+  rst_pack_text (pack, queue->settings.pool);
+  rst_pack_int (pack, queue->settings.priority);
+  rst_pack_int (pack, queue->settings.max_failures);
+  rst_pack_int (pack, queue->settings.slack);
+  rst_pack_int (pack, queue->settings.target_ms);
+  rst_pack_int (
+      pack, queue->settings.needs_approval ? queue->settings.advice_ms : -1);
+  rst_pack_int (pack, queue->settings.advice_per_instance_us);
+  rst_pack_int (pack, queue->settings.advice_valid_ms);
 }
--- a/src/cell/plan_restore.c
+++ b/src/cell/plan_restore.c
@@ -4,16 +4,16 @@
 #include "cell/planner_private.h"
 
 /** Margin for clocks that differ between machines, in milliseconds. */
-#define CLOCKS_DIFFER_MS 3000
+#define CLOCK_SKEW_MAX_MS 3000
 
 /** Added to the attempts of tasks that are not done: the predecessor's last
     starts have no record, and a number must not be used twice.  A start is
     repeated after 100 ms at the least, and a planner that starts a task a
     hundred times without any record of its job does so for 10 s. */
-#define ATTEMPTS_UNSEEN 100
+#define UNRECORDED_ATTEMPTS_MAX 100
 
 /** Bytes of a task without failed runs: flags, their count, its attempt. */
-#define TASK_BYTES 6
+#define TASK_BYTES_MIN 6
 
 static int
 read_number (const guint8 *bytes, size_t length, size_t *at)
@@ -31,36 +31,36 @@
 {
   size_t at = 0;
 
-  for (int i = 0; i < step->spec->count && at + TASK_BYTES <= length; i++)
+  for (int i = 0; i < step->spec->count && at + TASK_BYTES_MIN <= length; i++)
     {
       struct task *task = &step->tasks[i];
       bool done = bytes[at] & RST_TASK_DONE_FLAG;
-      bool begun = bytes[at] & RST_TASK_BEGUN_FLAG;
+      bool has_started = bytes[at] & RST_TASK_STARTED_FLAG;
       int attempt;
 
-      task->failed = MIN (bytes[at + 1], RST_FAILED_MAX);
+      task->failed_runs = MIN (bytes[at + 1], RST_FAILED_RUNS_MAX);
       at += 2;
       attempt = read_number (bytes, length, &at);
       task->attempt = MAX (task->attempt, attempt);
-      if (begun)
-        rst_plan_job_begun (step->occurrence->job);
-      for (int k = 0; k < task->failed; k++)
+      if (has_started)
+        rst_plan_job_mark_started (step->occurrence->job);
+      for (int k = 0; k < task->failed_runs; k++)
         task->failed_attempts[k] = read_number (bytes, length, &at);
       if (!done || task->done)
         continue;
       task->done = true;
-      step->left--;
+      step->tasks_left--;
       if (task->run == NULL)
-        step->waiting--;
+        step->tasks_waiting--;
     }
 }
 
 static void
 restore_occurrence (struct job *job, struct rst_reader *reader)
 {
-  struct rst_reader in = rst_reader_array (reader);
-  int64_t number = rst_reader_int (&in);
-  struct occurrence *occurrence = rst_plan_occurrence (job, number);
+  struct rst_reader in = rst_reader_read_array (reader);
+  int64_t number = rst_reader_read_int (&in);
+  struct occurrence *occurrence = rst_plan_find_occurrence (job, number);
 
   if (occurrence == NULL)
     occurrence = rst_plan_occurrence_new (job, number);
@@ -68,13 +68,13 @@
   for (int i = 0; i < job->desc->step_count; i++)
     {
       size_t length;
-      const void *bytes = rst_reader_bytes (&in, &length);
+      const void *bytes = rst_reader_read_bytes (&in, &length);
 
       restore_tasks (&occurrence->steps[i], bytes, length);
-      if (occurrence->steps[i].left > 0)
+      if (occurrence->steps[i].tasks_left > 0)
         occurrence->steps_left++;
       for (int t = 0; t < occurrence->steps[i].spec->count; t++)
-        occurrence->steps[i].tasks[t].unsure = true;
+        occurrence->steps[i].tasks[t].in_doubt = true;
     }
   reader->bad |= in.bad;
 }
@@ -83,17 +83,17 @@
 restore_progress (struct rst_planner *planner, struct job *job,
                   struct rst_reader *reader)
 {
-  struct rst_reader in = rst_reader_array (reader);
+  struct rst_reader in = rst_reader_read_array (reader);
   struct rst_reader occurrences;
 
-  job->state = (enum rst_job_state)rst_reader_int (&in);
-  job->shown = job->state;
-  job->occurrences_left = rst_reader_int (&in);
-  job->next_occurrence = rst_reader_int (&in);
-  occurrences = rst_reader_array (&in);
+  job->state = (enum rst_job_state)rst_reader_read_int (&in);
+  job->committed_state = job->state;
+  job->occurrences_left = rst_reader_read_int (&in);
+  job->next_occurrence = rst_reader_read_int (&in);
+  occurrences = rst_reader_read_array (&in);
   for (uint32_t i = 0; i < occurrences.count; i++)
     restore_occurrence (job, &occurrences);
-  if (rst_plan_job_over (job))
+  if (rst_plan_job_has_ended (job))
     job->ended_at = planner->now;
   reader->bad |= in.bad || occurrences.bad;
 }
@@ -110,25 +110,25 @@
   struct rst_jobdesc *desc;
   struct job *job;
 
-  rst_reader_copy (in, id, sizeof id);
-  queue = rst_reader_text (in);
-  customer = rst_reader_text (in);
-  submitted_ms = rst_reader_int (in);
-  beyond = rst_reader_int (in) != 0;
+  rst_reader_copy_text (in, id, sizeof id);
+  queue = rst_reader_read_text (in);
+  customer = rst_reader_read_text (in);
+  submitted_ms = rst_reader_read_int (in);
+  beyond = rst_reader_read_int (in) != 0;
   desc = rst_jobdesc_read (in);
   job = g_hash_table_lookup (planner->jobs, id);
   if (desc != NULL && job == NULL)
-    job = rst_plan_job_new (planner, id, rst_plan_queue (planner, queue),
-                            rst_plan_customer (planner, customer), desc);
+    job = rst_plan_job_new (planner, id, rst_plan_get_queue (planner, queue),
+                            rst_plan_get_customer (planner, customer), desc);
   else
     rst_jobdesc_destroy (desc);
   if (desc != NULL)
     {
       job->submitted_ms = submitted_ms;
-      job->beyond_share = beyond;
+      job->over_share = beyond;
       job->stored = true;
-      job->segment_full = segment;
-      job->segment_last = segment;
+      job->full_record_segment = segment;
+      job->last_record_segment = segment;
       restore_progress (planner, job, in);
     }
   g_free (queue);
@@ -138,8 +138,8 @@
 /* A job without steps: an instance that still lists a task of it is told to
    stop the task. */
 static void
-restore_job_over (struct rst_planner *planner, struct rst_reader *in,
-                  int64_t segment)
+restore_ended_job (struct rst_planner *planner, struct rst_reader *in,
+                   int64_t segment)
 {
   char id[RST_JOB_ID_SIZE];
   char *queue;
@@ -148,56 +148,56 @@
   enum rst_job_state state;
   struct job *job;
 
-  rst_reader_copy (in, id, sizeof id);
-  queue = rst_reader_text (in);
-  customer = rst_reader_text (in);
-  submitted_ms = rst_reader_int (in);
-  state = (enum rst_job_state)rst_reader_int (in);
+  rst_reader_copy_text (in, id, sizeof id);
+  queue = rst_reader_read_text (in);
+  customer = rst_reader_read_text (in);
+  submitted_ms = rst_reader_read_int (in);
+  state = (enum rst_job_state)rst_reader_read_int (in);
   job = g_hash_table_lookup (planner->jobs, id);
   if (job == NULL && !in->bad)
     {
       struct rst_jobdesc *desc = rst_jobdesc_create (0);
 
       desc->spec = g_strdup ("");
-      job = rst_plan_job_new (planner, id, rst_plan_queue (planner, queue),
-                              rst_plan_customer (planner, customer), desc);
+      job = rst_plan_job_new (planner, id, rst_plan_get_queue (planner, queue),
+                              rst_plan_get_customer (planner, customer), desc);
     }
   if (!in->bad)
     {
       job->submitted_ms = submitted_ms;
       job->stored = true;
       job->state = state;
-      job->shown = state;
+      job->committed_state = state;
       job->ended_at = planner->now;
-      job->segment_full = segment;
-      job->segment_last = segment;
+      job->full_record_segment = segment;
+      job->last_record_segment = segment;
     }
   g_free (queue);
   g_free (customer);
 }
 
 static struct instance *
-restore_place (struct rst_planner *planner, struct rst_reader *in)
+restore_instance_entry (struct rst_planner *planner, struct rst_reader *in)
 {
   char id[RST_ID_SIZE];
   struct instance *instance;
 
-  rst_reader_copy (in, id, sizeof id);
+  rst_reader_copy_text (in, id, sizeof id);
   if (in->bad)
     return NULL;
   instance = g_hash_table_lookup (planner->instances, id);
   if (instance == NULL)
     instance = rst_plan_instance_new (planner, id);
-  rst_reader_copy (in, instance->entry.address,
-                   sizeof instance->entry.address);
-  rst_reader_copy (in, instance->entry.zone, sizeof instance->entry.zone);
-  instance->gone_at = planner->now;
+  rst_reader_copy_text (in, instance->entry.address,
+                        sizeof instance->entry.address);
+  rst_reader_copy_text (in, instance->entry.zone, sizeof instance->entry.zone);
+  instance->unregistered_at = planner->now;
   return instance;
 }
 
 /* What an earlier record said of its runs no longer counts. */
 static void
-drop_runs (struct rst_planner *planner, struct instance *instance)
+discard_runs (struct rst_planner *planner, struct instance *instance)
 {
   GList *runs = g_hash_table_get_values (instance->runs);
 
@@ -205,8 +205,8 @@
     {
       struct task *task = ((struct run *)item->data)->task;
 
-      rst_plan_run_drop (planner, item->data);
-      task->unsure = true;
+      rst_plan_run_remove (planner, item->data);
+      task->in_doubt = true;
     }
   g_list_free (runs);
 }
@@ -214,53 +214,54 @@
 static void
 restore_instance (struct rst_planner *planner, struct rst_reader *in)
 {
-  struct instance *instance = restore_place (planner, in);
+  struct instance *instance = restore_instance_entry (planner, in);
 
   if (instance == NULL)
     return;
-  drop_runs (planner, instance);
+  discard_runs (planner, instance);
   instance->recorded = true;
   instance->inherited = true;
-  planner->unsure_left = true;
+  planner->has_inherited = true;
 }
 
 static void
 restore_run (struct rst_planner *planner, struct instance *instance,
              struct rst_reader *rows)
 {
-  struct rst_reader row = rst_reader_array (rows);
-  char *name = rst_reader_text (&row);
-  int attempt = (int)rst_reader_int (&row);
+  struct rst_reader row = rst_reader_read_array (rows);
+  char *name = rst_reader_read_text (&row);
+  int attempt = (int)rst_reader_read_int (&row);
   struct task *task = rst_plan_find_task (planner, name);
 
   if (task != NULL && task->run == NULL && !row.bad)
     {
       struct run *run = rst_plan_run_new (planner, task, instance, attempt);
 
-      run->assumed = true;
-      rst_plan_run_begun (run);
+      run->from_journal = true;
+      rst_plan_run_mark_started (run);
       /* It may have ended unseen, and the task may run elsewhere. */
-      task->unsure = true;
+      task->in_doubt = true;
     }
   rows->bad |= row.bad;
   g_free (name);
 }
 
 static void
-restore_instance_out (struct rst_planner *planner, struct rst_reader *in)
+restore_unreachable_instance (struct rst_planner *planner,
+                              struct rst_reader *in)
 {
-  struct instance *instance = restore_place (planner, in);
-  int64_t left = rst_reader_int (in) - planner->unix_ms;
-  struct rst_reader rows = rst_reader_array (in);
+  struct instance *instance = restore_instance_entry (planner, in);
+  int64_t tasks_left = rst_reader_read_int (in) - planner->unix_ms;
+  struct rst_reader rows = rst_reader_read_array (in);
 
   if (instance == NULL)
     return;
-  drop_runs (planner, instance);
+  discard_runs (planner, instance);
   instance->recorded = false;
   instance->inherited = false;
-  instance->lapse_at
-      = MIN (instance->lapse_at,
-             planner->now + MAX (left, 0) * 102 / 100 + CLOCKS_DIFFER_MS);
+  instance->lease_expires_at = MIN (
+      instance->lease_expires_at,
+      planner->now + MAX (tasks_left, 0) * 102 / 100 + CLOCK_SKEW_MAX_MS);
   for (uint32_t i = 0; i < rows.count; i++)
     restore_run (planner, instance, &rows);
   in->bad |= rows.bad;
@@ -269,19 +270,19 @@
 static void
 restore_queue (struct rst_planner *planner, struct rst_reader *in)
 {
-  char *name = rst_reader_text (in);
-  struct queue *queue = rst_plan_queue (planner, name);
-
-  g_free (queue->set.pool);
-  queue->set.pool = rst_reader_text (in);
-  queue->set.priority = (int)rst_reader_int (in);
-  queue->set.attempts = (int)rst_reader_int (in);
-  queue->set.slack = rst_reader_int (in);
-  queue->set.target_ms = rst_reader_int (in);
-  queue->set.advice_ms = rst_reader_int (in);
-  queue->set.advised = queue->set.advice_ms >= 0;
-  queue->set.advice_each_us = rst_reader_int (in);
-  queue->set.advice_valid_ms = rst_reader_int (in);
+  char *name = rst_reader_read_text (in);
+  struct queue *queue = rst_plan_get_queue (planner, name);
+
+  g_free (queue->settings.pool);
+  queue->settings.pool = rst_reader_read_text (in);
+  queue->settings.priority = (int)rst_reader_read_int (in);
+  queue->settings.max_failures = (int)rst_reader_read_int (in);
+  queue->settings.slack = rst_reader_read_int (in);
+  queue->settings.target_ms = rst_reader_read_int (in);
+  queue->settings.advice_ms = rst_reader_read_int (in);
+  queue->settings.needs_approval = queue->settings.advice_ms >= 0;
+  queue->settings.advice_per_instance_us = rst_reader_read_int (in);
+  queue->settings.advice_valid_ms = rst_reader_read_int (in);
   queue->recorded = true;
   g_free (name);
 }
@@ -290,8 +291,8 @@
 restore_record (struct rst_planner *planner, struct rst_reader *reader,
                 int64_t segment)
 {
-  struct rst_reader in = rst_reader_array (reader);
-  int64_t kind = rst_reader_int (&in);
+  struct rst_reader in = rst_reader_read_array (reader);
+  int64_t kind = rst_reader_read_int (&in);
   char id[RST_JOB_ID_SIZE];
   struct job *job;
 
@@ -301,22 +302,22 @@
       restore_job (planner, &in, segment);
       break;
     case RST_RECORD_PROGRESS:
-      rst_reader_copy (&in, id, sizeof id);
+      rst_reader_copy_text (&in, id, sizeof id);
       job = g_hash_table_lookup (planner->jobs, id);
       if (job != NULL)
         {
-          job->segment_last = segment;
+          job->last_record_segment = segment;
           restore_progress (planner, job, &in);
         }
       break;
     case RST_RECORD_JOB_OVER:
-      restore_job_over (planner, &in, segment);
+      restore_ended_job (planner, &in, segment);
       break;
     case RST_RECORD_INSTANCE:
       restore_instance (planner, &in);
       break;
     case RST_RECORD_INSTANCE_OUT:
-      restore_instance_out (planner, &in);
+      restore_unreachable_instance (planner, &in);
       break;
     case RST_RECORD_QUEUE:
       restore_queue (planner, &in);
@@ -343,7 +344,7 @@
       reader.bad = false;
     }
   msgpack_unpacked_destroy (&unpacked);
-  rst_plan_count_segment (planner, segment);
+  rst_plan_add_segment (planner, segment);
   planner->next_segment = MAX (planner->next_segment, segment + 1);
   return good;
 }
@@ -357,16 +358,16 @@
         struct task *task = &occurrence->steps[i].tasks[t];
 
         if (!task->done)
-          task->attempt += ATTEMPTS_UNSEEN;
+          task->attempt += UNRECORDED_ATTEMPTS_MAX;
       }
 }
 
 static void
-settle_job (struct rst_planner *planner, struct job *job)
+resume_job (struct rst_planner *planner, struct job *job)
 {
-  bool over = rst_plan_job_over (job);
+  bool over = rst_plan_job_has_ended (job);
 
-  if (over && !job->begun && job->desc->repeats == 0)
+  if (over && !job->has_started && job->desc->repeats == 0)
     job->queue->pending--;
   if (over)
     return;
@@ -375,12 +376,12 @@
       struct occurrence *occurrence = g_ptr_array_index (job->occurrences, k);
 
       skip_attempts (job, occurrence);
-      rst_plan_steps_ready (planner, occurrence);
+      rst_plan_enqueue_steps (planner, occurrence);
     }
 }
 
 void
-rst_planner_restored (struct rst_planner *planner)
+rst_planner_finish_restore (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
@@ -390,9 +391,9 @@
   planner->restored = true;
   g_hash_table_iter_init (&iter, planner->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    settle_job (planner, value);
+    resume_job (planner, value);
   planner->changed = true;
-  rst_plan_assign (planner);
+  rst_plan_assign_instances (planner);
   g_snprintf (jobs, sizeof jobs, "%u", g_hash_table_size (planner->jobs));
   g_snprintf (segments, sizeof segments, "%u",
               g_hash_table_size (planner->segments));
--- a/src/cell/plan_runs.c
+++ b/src/cell/plan_runs.c
@@ -5,7 +5,7 @@
 #include "cell/planner_private.h"
 
 /** Time between two stop orders for one run, in milliseconds. */
-#define STOP_AGAIN_MS 300
+#define STOP_RETRY_MS 300
 
 /** Failed runs in a row after which an instance gets no work for a while. */
 #define FAILURES_MAX 3
@@ -14,19 +14,19 @@
 #define FAILURE_PAUSE_MS 1500
 
 /** Pause after an instance turned an order away, in milliseconds. */
-#define REFUSAL_PAUSE_MS 400
+#define REJECTION_PAUSE_MS 400
 
 /** Longest pause of an instance, in milliseconds. */
 #define PAUSE_MAX_MS 6000
 
 /** A run whose progress stands still for this long is withdrawn. */
-#define STALL_MS 3500
+#define STALL_TIMEOUT_MS 3500
 
 /** Weight of a run in its queue's learned run time. */
 #define RUN_TIME_WEIGHT 0.02
 
 void
-rst_plan_task_name (const struct task *task, char *out, size_t size)
+rst_plan_format_task_name (const struct task *task, char *out, size_t size)
 {
   const struct step *step = task->step;
 
@@ -47,58 +47,59 @@
   struct run *run = g_new0 (struct run, 1);
   struct job *job = task->step->occurrence->job;
 
-  rst_plan_task_name (task, run->name, sizeof run->name);
+  rst_plan_format_task_name (task, run->name, sizeof run->name);
   run->task = task;
   run->instance = instance;
-  run->need = rst_step_need (task->step->spec);
+  run->need = rst_step_get_task_need (task->step->spec);
   run->attempt = attempt;
-  run->ordered_at = planner->now;
-  run->moved_at = planner->now;
-  run->pace = RST_PACE_FULL;
+  run->start_sent_at = planner->now;
+  run->progressed_at = planner->now;
+  run->pace = RST_PACE_FULL_PERCENT;
   run->customer = job->customer;
   task->run = run;
   task->attempt = MAX (task->attempt, attempt);
-  task->unsure = false;
+  task->in_doubt = false;
   if (!task->done)
-    task->step->waiting--;
-  rst_need_add (&instance->used, &run->need, 1);
-  rst_need_add (&run->customer->used, &run->need, 1);
+    task->step->tasks_waiting--;
+  rst_resources_add (&instance->used, &run->need, 1);
+  rst_resources_add (&run->customer->used, &run->need, 1);
   g_hash_table_replace (instance->runs, run->name, run);
   return run;
 }
 
 /* An instance has said that the run is there. */
 void
-rst_plan_run_begun (struct run *run)
+rst_plan_run_mark_started (struct run *run)
 {
   if (run->state == RUN_STARTING)
     run->state = RUN_RUNNING;
-  rst_plan_job_begun (run->task->step->occurrence->job);
+  rst_plan_job_mark_started (run->task->step->occurrence->job);
 }
 
 /* A task of the job has started. */
 void
-rst_plan_job_begun (struct job *job)
+rst_plan_job_mark_started (struct job *job)
 {
-  if (!job->begun && job->desc->repeats == 0 && !rst_plan_job_over (job))
+  if (!job->has_started && job->desc->repeats == 0
+      && !rst_plan_job_has_ended (job))
     job->queue->pending--;
-  job->begun = true;
+  job->has_started = true;
 }
 
 void
-rst_plan_run_drop (struct rst_planner *planner, struct run *run)
+rst_plan_run_remove (struct rst_planner *planner, struct run *run)
 {
   struct task *task = run->task;
 
   planner->changed = true;
-  rst_need_add (&run->instance->used, &run->need, -1);
-  rst_need_add (&run->customer->used, &run->need, -1);
+  rst_resources_add (&run->instance->used, &run->need, -1);
+  rst_resources_add (&run->customer->used, &run->need, -1);
   task->run = NULL;
   if (!task->done)
-    task->step->waiting++;
+    task->step->tasks_waiting++;
   g_hash_table_remove (run->instance->runs, run->name);
-  if (!rst_plan_job_over (task->step->occurrence->job))
-    rst_plan_step_ready (planner, task->step);
+  if (!rst_plan_job_has_ended (task->step->occurrence->job))
+    rst_plan_enqueue_step (planner, task->step);
 }
 
 static void
@@ -106,7 +107,7 @@
 {
   struct rst_pack pack;
 
-  run->stop_at = planner->now;
+  run->stop_sent_at = planner->now;
   if (run->instance->agent == NULL)
     return;
   rst_pack_init (&pack, 4);
@@ -118,7 +119,7 @@
 }
 
 void
-rst_plan_stop (struct rst_planner *planner, struct run *run)
+rst_plan_stop_run (struct rst_planner *planner, struct run *run)
 {
   if (run->state == RUN_STOPPING)
     return;
@@ -135,25 +136,27 @@
   step->gang_stopping = true;
   for (int i = 0; i < step->spec->count; i++)
     if (step->tasks[i].run != NULL)
-      rst_plan_stop (planner, step->tasks[i].run);
+      rst_plan_stop_run (planner, step->tasks[i].run);
 }
 
 static void
 count_start (struct rst_planner *planner, struct job *job)
 {
   planner->stats.starts++;
-  if (!job->ordered && !job->begun)
+  if (!job->start_sent && !job->has_started)
     rst_histogram_add (&job->queue->first_start_ms,
                        planner->unix_ms - job->submitted_ms);
-  job->ordered = true;
+  job->start_sent = true;
 }
 
 void
-rst_plan_start (struct rst_planner *planner, struct task *task,
-                struct instance *instance, int attempt, const char *ticket)
+rst_plan_start_task (struct rst_planner *planner, struct task *task,
+                     struct instance *instance, int attempt,
+                     const char *ticket)
 {
   struct step *step = task->step;
-  const char *saved = step->spec->gang ? step->saved : task->saved;
+  const char *checkpoint
+      = step->spec->gang ? step->checkpoint : task->checkpoint;
   struct run *run = rst_plan_run_new (planner, task, instance, attempt);
   struct rst_pack pack;
 
@@ -164,7 +167,7 @@
   rst_pack_text (&pack, run->name);
   rst_pack_int (&pack, attempt);
   rst_pack_text (&pack, step->occurrence->job->desc->spec);
-  rst_pack_text (&pack, saved);
+  rst_pack_text (&pack, checkpoint);
   rst_pack_text (&pack, ticket);
   rst_plan_send (planner, instance->agent->link, &pack);
   if (rst_log_enabled (G_LOG_LEVEL_INFO))
@@ -179,20 +182,20 @@
 
 /* Nothing of the run is on its instance; the task may start elsewhere. */
 void
-rst_plan_run_lost (struct rst_planner *planner, struct run *run,
-                   const char *why)
+rst_plan_run_mark_lost (struct rst_planner *planner, struct run *run,
+                        const char *why)
 {
   struct step *step = run->task->step;
 
   rst_info (RST_PLAN_LOG, "Run is gone.", "task", run->name, "instance",
             run->instance->entry.id, "why", why);
-  rst_plan_run_drop (planner, run);
+  rst_plan_run_remove (planner, run);
   stop_gang (planner, step);
 }
 
 static struct run *
-find_run (struct rst_planner *planner, struct rst_reader *reader,
-          enum rst_result *result, int64_t *clock_ms)
+read_run_answer (struct rst_planner *planner, struct rst_reader *reader,
+                 enum rst_result *result, int64_t *clock_ms)
 {
   char id[RST_ID_SIZE];
   char name[RST_TASK_NAME_SIZE];
@@ -200,11 +203,11 @@
   struct run *run;
   int attempt;
 
-  rst_reader_copy (reader, id, sizeof id);
-  rst_reader_copy (reader, name, sizeof name);
-  attempt = (int)rst_reader_int (reader);
-  *result = (enum rst_result)rst_reader_int (reader);
-  *clock_ms = rst_reader_int (reader);
+  rst_reader_copy_text (reader, id, sizeof id);
+  rst_reader_copy_text (reader, name, sizeof name);
+  attempt = (int)rst_reader_read_int (reader);
+  *result = (enum rst_result)rst_reader_read_int (reader);
+  *clock_ms = rst_reader_read_int (reader);
   if (reader->bad)
     return NULL;
   instance = g_hash_table_lookup (planner->instances, id);
@@ -217,18 +220,19 @@
 {
   rst_ms pause;
 
-  instance->refusals = MIN (instance->refusals + 1, 4);
-  pause = MIN (REFUSAL_PAUSE_MS << instance->refusals, PAUSE_MAX_MS);
-  instance->avoid_until = MAX (instance->avoid_until, planner->now + pause);
+  instance->rejections = MIN (instance->rejections + 1, 4);
+  pause = MIN (REJECTION_PAUSE_MS << instance->rejections, PAUSE_MAX_MS);
+  instance->paused_until = MAX (instance->paused_until, planner->now + pause);
   rst_info (RST_PLAN_LOG, "Instance pauses.", "instance", instance->entry.id);
 }
 
 void
-rst_plan_started (struct rst_planner *planner, struct rst_reader *reader)
+rst_plan_receive_started (struct rst_planner *planner,
+                          struct rst_reader *reader)
 {
   enum rst_result result;
   int64_t clock_ms;
-  struct run *run = find_run (planner, reader, &result, &clock_ms);
+  struct run *run = read_run_answer (planner, reader, &result, &clock_ms);
   struct leave *leave;
 
   if (run == NULL)
@@ -236,38 +240,39 @@
   run->clock_ms = MAX (run->clock_ms, clock_ms);
   if (result == RST_RESULT_OK)
     {
-      run->instance->refusals = 0;
-      rst_plan_run_begun (run);
+      run->instance->rejections = 0;
+      rst_plan_run_mark_started (run);
       return;
     }
   planner->stats.starts_failed++;
   rst_info (RST_PLAN_LOG, "Start did not succeed.", "task", run->name,
             "instance", run->instance->entry.id, "result",
-            rst_result_text (result));
-  if ((result == RST_RESULT_UNKNOWN || result == RST_RESULT_OTHER_LIFE)
+            rst_result_name (result));
+  if ((result == RST_RESULT_UNKNOWN || result == RST_RESULT_OTHER_INCARNATION)
       && !RST_CELL_FAULT (RST_CELL_FAULT_EARLY_RESTART))
     {
       pause_instance (planner, run->instance);
       stop_gang (planner, run->task->step);
-      rst_plan_stop (planner, run);
+      rst_plan_stop_run (planner, run);
       return;
     }
   leave
       = g_hash_table_lookup (run->task->step->leaves, run->instance->entry.id);
   if (result == RST_RESULT_NO_TICKET && leave != NULL)
-    leave->expires = 0;
-  if (result == RST_RESULT_REFUSED || result == RST_RESULT_NO_ROOM
+    leave->expires_at = 0;
+  if (result == RST_RESULT_REJECTED || result == RST_RESULT_NO_ROOM
       || result == RST_RESULT_NOT_SENT)
     pause_instance (planner, run->instance);
-  rst_plan_run_lost (planner, run, rst_result_text (result));
+  rst_plan_run_mark_lost (planner, run, rst_result_name (result));
 }
 
 void
-rst_plan_stopped (struct rst_planner *planner, struct rst_reader *reader)
+rst_plan_receive_stopped (struct rst_planner *planner,
+                          struct rst_reader *reader)
 {
   enum rst_result result;
   int64_t clock_ms;
-  struct run *run = find_run (planner, reader, &result, &clock_ms);
+  struct run *run = read_run_answer (planner, reader, &result, &clock_ms);
 
   if (run == NULL || result != RST_RESULT_OK)
     return;
@@ -276,7 +281,7 @@
 }
 
 static void
-set_task_done (struct rst_planner *planner, struct task *task)
+finish_task (struct rst_planner *planner, struct task *task)
 {
   struct step *step = task->step;
 
@@ -284,39 +289,40 @@
     return;
   task->done = true;
   if (task->run == NULL)
-    step->waiting--;
-  step->left--;
-  if (step->left == 0)
-    rst_plan_step_done (planner, step);
+    step->tasks_waiting--;
+  step->tasks_left--;
+  if (step->tasks_left == 0)
+    rst_plan_finish_step (planner, step);
 }
 
 static void
-task_done (struct rst_planner *planner, struct task *task)
+record_task_done (struct rst_planner *planner, struct task *task)
 {
   struct step *step = task->step;
 
   rst_plan_mark (planner, step->occurrence->job);
   if (!step->spec->gang)
     {
-      set_task_done (planner, task);
+      finish_task (planner, task);
       return;
     }
   /* One such end stands for the whole gang. */
   for (int i = 0; i < step->spec->count; i++)
-    set_task_done (planner, &step->tasks[i]);
+    finish_task (planner, &step->tasks[i]);
 }
 
 static void
-note_instance_failure (struct rst_planner *planner, struct instance *instance)
+record_instance_failure (struct rst_planner *planner,
+                         struct instance *instance)
 {
-  int beyond;
+  int excess;
 
   instance->failures++;
-  beyond = instance->failures - FAILURES_MAX + 1;
-  if (beyond <= 0)
+  excess = instance->failures - FAILURES_MAX + 1;
+  if (excess <= 0)
     return;
-  instance->avoid_until
-      = planner->now + MIN ((rst_ms)beyond * FAILURE_PAUSE_MS, PAUSE_MAX_MS);
+  instance->paused_until
+      = planner->now + MIN ((rst_ms)excess * FAILURE_PAUSE_MS, PAUSE_MAX_MS);
   rst_warning (RST_PLAN_LOG, "Instance fails what it runs; it pauses.",
                "instance", instance->entry.id);
 }
@@ -325,18 +331,18 @@
 static bool
 count_failure (struct task *task, int attempt)
 {
-  for (int i = 0; i < MIN (task->failed, RST_FAILED_MAX); i++)
+  for (int i = 0; i < MIN (task->failed_runs, RST_FAILED_RUNS_MAX); i++)
     if (task->failed_attempts[i] == attempt)
       return false;
-  if (task->failed < RST_FAILED_MAX)
-    task->failed_attempts[task->failed] = attempt;
-  task->failed++;
+  if (task->failed_runs < RST_FAILED_RUNS_MAX)
+    task->failed_attempts[task->failed_runs] = attempt;
+  task->failed_runs++;
   return true;
 }
 
 static void
-task_failed (struct rst_planner *planner, struct task *task,
-             struct instance *instance, int attempt)
+record_task_failure (struct rst_planner *planner, struct task *task,
+                     struct instance *instance, int attempt)
 {
   struct step *step = task->step;
   struct job *job = step->occurrence->job;
@@ -344,29 +350,29 @@
   struct task *counter = step->spec->gang ? &step->tasks[0] : task;
 
   task->bad = instance;
-  if (step->spec->lasting || !count_failure (counter, attempt))
+  if (step->spec->long_running || !count_failure (counter, attempt))
     return;
   rst_plan_mark (planner, job);
-  if (counter->failed >= MAX (job->queue->set.attempts, 1)
-      && !RST_CELL_FAULT (RST_CELL_FAULT_NO_BUDGET))
-    rst_plan_job_end (planner, job, RST_JOB_FAILED);
+  if (counter->failed_runs >= MAX (job->queue->settings.max_failures, 1)
+      && !RST_CELL_FAULT (RST_CELL_FAULT_IGNORE_FAILURES))
+    rst_plan_end_job (planner, job, RST_JOB_FAILED);
 }
 
 static void
-learn_run_time (const struct rst_planner *planner, const struct run *run)
+update_mean_run_time (const struct rst_planner *planner, const struct run *run)
 {
   struct queue *queue = run->task->step->occurrence->job->queue;
-  double took = (double)(planner->now - run->ordered_at);
+  double took_ms = (double)(planner->now - run->start_sent_at);
 
-  if (queue->run_ms <= 0.0)
-    queue->run_ms = took;
-  queue->run_ms += RUN_TIME_WEIGHT * (took - queue->run_ms);
+  if (queue->mean_run_ms <= 0.0)
+    queue->mean_run_ms = took_ms;
+  queue->mean_run_ms += RUN_TIME_WEIGHT * (took_ms - queue->mean_run_ms);
 }
 
 /* Applies an end that an instance lists. */
 void
-rst_plan_end (struct rst_planner *planner, struct instance *instance,
-              const struct rst_run *end)
+rst_plan_apply_end (struct rst_planner *planner, struct instance *instance,
+                    const struct rst_run *end)
 {
   struct task *task = rst_plan_find_task (planner, end->task);
   struct run *run = g_hash_table_lookup (instance->runs, end->task);
@@ -377,40 +383,40 @@
   if (task == NULL)
     return;
   step = task->step;
-  planner->stats.ends[end->how]++;
-  if (end->saved[0] != '\0' && step->spec->saves)
+  planner->stats.ends[end->end_reason]++;
+  if (end->checkpoint[0] != '\0' && step->spec->has_checkpoints)
     {
-      g_strlcpy (task->saved, end->saved, sizeof task->saved);
-      g_strlcpy (step->saved, end->saved, sizeof step->saved);
+      g_strlcpy (task->checkpoint, end->checkpoint, sizeof task->checkpoint);
+      g_strlcpy (step->checkpoint, end->checkpoint, sizeof step->checkpoint);
     }
   task->attempt = MAX (task->attempt, end->attempt);
-  rst_plan_job_begun (step->occurrence->job);
-  if (!rst_plan_job_over (step->occurrence->job))
+  rst_plan_job_mark_started (step->occurrence->job);
+  if (!rst_plan_job_has_ended (step->occurrence->job))
     {
-      if (end->how == RST_END_DONE && !step->spec->lasting)
+      if (end->end_reason == RST_END_DONE && !step->spec->long_running)
         {
           instance->failures = 0;
           if (run != NULL)
-            learn_run_time (planner, run);
-          task_done (planner, task);
+            update_mean_run_time (planner, run);
+          record_task_done (planner, task);
         }
-      else if (end->how == RST_END_FAILED)
+      else if (end->end_reason == RST_END_FAILED)
         {
-          note_instance_failure (planner, instance);
-          task_failed (planner, task, instance, end->attempt);
+          record_instance_failure (planner, instance);
+          record_task_failure (planner, task, instance, end->attempt);
         }
-      if (end->how != RST_END_DONE && run != NULL)
+      if (end->end_reason != RST_END_DONE && run != NULL)
         stop_gang (planner, step);
     }
   if (run != NULL)
-    rst_plan_run_drop (planner, run);
+    rst_plan_run_remove (planner, run);
   if (rst_log_enabled (G_LOG_LEVEL_INFO))
     {
       static const char *const names[]
           = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
 
       rst_info (RST_PLAN_LOG, "Run ended.", "task", end->task, "instance",
-                instance->entry.id, "how", names[end->how]);
+                instance->entry.id, "how", names[end->end_reason]);
     }
 }
 
@@ -428,24 +434,25 @@
       struct step *step = run->task->step;
 
       if (run->state == RUN_STARTING
-          && planner->now - run->ordered_at > RST_START_ANSWER_MS)
+          && planner->now - run->start_sent_at > RST_START_TIMEOUT_MS)
         {
           stop_gang (planner, step);
-          rst_plan_stop (planner, run);
+          rst_plan_stop_run (planner, run);
         }
       else if (run->state == RUN_STOPPING && !run->stop_answered
-               && planner->now - run->stop_at > STOP_AGAIN_MS)
+               && planner->now - run->stop_sent_at > STOP_RETRY_MS)
         send_stop (planner, run);
-      else if (run->state == RUN_RUNNING && !step->spec->lasting
-               && instance->known && planner->now - run->moved_at > STALL_MS
-               && planner->now - run->moved_at > step->spec->estimate_ms)
+      else if (run->state == RUN_RUNNING && !step->spec->long_running
+               && instance->runs_known
+               && planner->now - run->progressed_at > STALL_TIMEOUT_MS
+               && planner->now - run->progressed_at > step->spec->estimate_ms)
         {
           rst_info (RST_PLAN_LOG, "Run stands still and is stopped.", "task",
                     run->name, "instance", instance->entry.id);
-          instance->avoid_until = planner->now + FAILURE_PAUSE_MS;
+          instance->paused_until = planner->now + FAILURE_PAUSE_MS;
           run->task->bad = instance;
           stop_gang (planner, step);
-          rst_plan_stop (planner, run);
+          rst_plan_stop_run (planner, run);
         }
     }
 }
