--- /dev/null
+++ b/src/cell/planner_client.c
@@ -0,0 +1,332 @@
+#include "cell/planner_client.h"
+
+#include <inttypes.h>
+#include <string.h>
+
+#include "util/log.h"
+
+#define LOG_PREFIX "seeker"
+
+/** Time between two readings of the planner's key, in milliseconds. */
+#define READ_INTERVAL_MS 150
+
+/** Pause after a link that was refused, in milliseconds. */
+#define RECONNECT_DELAY_MS 60
+
+/** The key stood still this long after the link was closed by the peer. */
+#define TAKEOVER_AFTER_CLOSE_MS 250
+
+/** The same when the planner is silent. */
+#define TAKEOVER_AFTER_SILENCE_MS 700
+
+/** Age of the store's last word to the planner from which on others look
+    whether they reach the store. */
+#define CONFIRMATION_AGE_MAX_MS 600
+
+/** A link that was not answered for this long is closed. */
+#define WELCOME_TIMEOUT_MS 700
+
+/** Longest time without anything due. */
+#define IDLE_MS 500
+
+struct rst_planner_client
+{
+  struct rst_planner_client_config config;
+  uint64_t link;
+  bool open;
+  bool welcomed;
+  int64_t link_epoch;
+  int64_t epoch;
+  char address[RST_ADDRESS_SIZE];
+  rst_ms connect_started_at;
+  rst_ms confirmed_at;
+  bool closed_by_peer;
+  bool reading;
+  rst_ms next_read;
+  int64_t revision;
+  rst_ms record_changed_at;
+};
+
+void
+rst_planner_record_pack (struct rst_pack *pack,
+                         const struct rst_planner_record *record)
+{
+  rst_pack_init (pack, 4);
+  rst_pack_int (pack, record->epoch);
+  rst_pack_int (pack, record->counter);
+  rst_pack_text (pack, record->name);
+  rst_pack_text (pack, record->address);
+}
+
+bool
+rst_planner_record_read (struct rst_planner_record *record, const void *data,
+                         size_t length)
+{
+  msgpack_unpacked unpacked;
+  struct rst_reader reader;
+  bool good = rst_reader_open (&reader, &unpacked, data, length);
+
+  memset (record, 0, sizeof *record);
+  if (good)
+    {
+      record->epoch = rst_reader_read_int (&reader);
+      record->counter = rst_reader_read_int (&reader);
+      rst_reader_copy_text (&reader, record->name, sizeof record->name);
+      rst_reader_copy_text (&reader, record->address, sizeof record->address);
+    }
+  msgpack_unpacked_destroy (&unpacked);
+  return good && !reader.bad;
+}
+
+struct rst_planner_client *
+rst_planner_client_create (const struct rst_planner_client_config *config)
+{
+  struct rst_planner_client *client = g_new0 (struct rst_planner_client, 1);
+
+  client->config = *config;
+  client->config.name = g_strdup (config->name);
+  client->config.zone = g_strdup (config->zone);
+  return client;
+}
+
+void
+rst_planner_client_destroy (struct rst_planner_client *client)
+{
+  if (client == NULL)
+    return;
+  g_free ((char *)client->config.name);
+  g_free ((char *)client->config.zone);
+  g_free (client);
+}
+
+bool
+rst_planner_client_owns_link (const struct rst_planner_client *client,
+                              uint64_t link)
+{
+  return client->link != 0 && client->link == link;
+}
+
+static void
+clear_link (struct rst_planner_client *client)
+{
+  bool was = client->welcomed;
+
+  client->link = 0;
+  client->open = false;
+  client->welcomed = false;
+  /* A link that never worked must not make this a busy loop. */
+  client->next_read = was ? 0 : client->config.now () + RECONNECT_DELAY_MS;
+  if (was)
+    client->config.on_disconnected (client->config.userdata);
+}
+
+static void
+close_link (struct rst_planner_client *client)
+{
+  uint64_t link = client->link;
+
+  if (link == 0)
+    return;
+  clear_link (client);
+  client->config.close (client->config.userdata, link);
+}
+
+static void
+connect_to (struct rst_planner_client *client, int64_t epoch,
+            const char *address)
+{
+  if (client->link != 0 && client->link_epoch >= epoch)
+    return;
+  close_link (client);
+  client->link_epoch = epoch;
+  g_strlcpy (client->address, address, sizeof client->address);
+  client->connect_started_at = client->config.now ();
+  client->closed_by_peer = false;
+  client->link = client->config.connect (client->config.userdata, address);
+}
+
+void
+rst_planner_client_redirect (struct rst_planner_client *client, int64_t epoch,
+                             const char *address)
+{
+  if (epoch > client->link_epoch || client->link == 0)
+    connect_to (client, epoch, address);
+}
+
+void
+rst_planner_client_link_opened (struct rst_planner_client *client)
+{
+  struct rst_pack pack;
+
+  client->open = true;
+  rst_pack_init (&pack, 4);
+  rst_pack_int (&pack, RST_MSG_HELLO);
+  rst_pack_int (&pack, client->config.role);
+  rst_pack_text (&pack, client->config.name);
+  rst_pack_text (&pack, client->config.zone);
+  client->config.send (client->config.userdata, client->link, pack.buffer.data,
+                       pack.buffer.size);
+  rst_pack_clear (&pack);
+}
+
+void
+rst_planner_client_link_closed (struct rst_planner_client *client)
+{
+  rst_ms now = client->config.now ();
+
+  /* Closed at once or by the peer: nobody plans there. */
+  client->closed_by_peer
+      = now - client->connect_started_at < TAKEOVER_AFTER_CLOSE_MS
+        || now - client->confirmed_at < TAKEOVER_AFTER_SILENCE_MS;
+  rst_info (LOG_PREFIX, "Link to the planner is gone.", "address",
+            client->address, "how",
+            client->closed_by_peer ? "closed" : "silent");
+  clear_link (client);
+}
+
+static void
+handle_welcome (struct rst_planner_client *client, struct rst_reader *reader)
+{
+  int64_t epoch = rst_reader_read_int (reader);
+  bool serving = rst_reader_read_int (reader) != 0;
+
+  if (reader->bad)
+    return;
+  if (epoch < client->epoch)
+    {
+      close_link (client);
+      return;
+    }
+  client->epoch = epoch;
+  client->link_epoch = epoch;
+  client->welcomed = true;
+  client->confirmed_at = client->config.now ();
+  client->config.on_connected (client->config.userdata, serving);
+}
+
+void
+rst_planner_client_handle_frame (struct rst_planner_client *client,
+                                 const void *data, size_t length)
+{
+  msgpack_unpacked unpacked;
+  struct rst_reader reader;
+  char address[RST_ADDRESS_SIZE];
+  int64_t number;
+  int kind;
+
+  if (!rst_reader_open (&reader, &unpacked, data, length))
+    {
+      rst_warning (LOG_PREFIX, "Frame can't be read; link closed.");
+      close_link (client);
+      goto out;
+    }
+  kind = (int)rst_reader_read_int (&reader);
+  if (kind == RST_MSG_WELCOME)
+    handle_welcome (client, &reader);
+  else if (kind == RST_MSG_HEARTBEAT)
+    {
+      number = rst_reader_read_int (&reader);
+      client->confirmed_at = client->config.now () - number;
+      client->config.on_heartbeat (client->config.userdata, number);
+    }
+  else if (kind == RST_MSG_REDIRECT)
+    {
+      number = rst_reader_read_int (&reader);
+      rst_reader_copy_text (&reader, address, sizeof address);
+      rst_planner_client_redirect (client, number, address);
+    }
+  else
+    client->config.on_message (client->config.userdata, kind, &reader);
+
+out:
+  msgpack_unpacked_destroy (&unpacked);
+}
+
+bool
+rst_planner_client_send (struct rst_planner_client *client, const void *data,
+                         size_t length)
+{
+  if (!client->welcomed)
+    return false;
+  client->config.send (client->config.userdata, client->link, data, length);
+  return true;
+}
+
+/* Whether the planner's key has stood still long enough. */
+static bool
+is_record_stale (const struct rst_planner_client *client, rst_ms now)
+{
+  rst_ms wait = client->closed_by_peer && client->link == 0
+                    ? TAKEOVER_AFTER_CLOSE_MS
+                    : TAKEOVER_AFTER_SILENCE_MS;
+
+  return now - client->record_changed_at
+         >= wait + client->config.jitter_ms + client->config.standby_delay_ms;
+}
+
+static void
+evaluate_record (struct rst_planner_client *client,
+                 const struct rst_store_item *item)
+{
+  rst_ms now = client->config.now ();
+  struct rst_planner_record record = { 0 };
+  int64_t revision = item != NULL ? item->revision : 0;
+  bool resigned;
+
+  if (item != NULL
+      && !rst_planner_record_read (&record, item->value, item->length))
+    rst_warning (LOG_PREFIX, "The planner's key can't be read.");
+  resigned = record.address[0] == '\0';
+  if (revision != client->revision || client->record_changed_at == 0)
+    {
+      client->revision = revision;
+      client->record_changed_at = now;
+    }
+  if (!resigned && (client->link == 0 || record.epoch > client->link_epoch))
+    connect_to (client, record.epoch, record.address);
+  if (client->config.take_over == NULL || record.epoch < client->epoch)
+    return;
+  if ((resigned
+       && now - client->record_changed_at >= client->config.standby_delay_ms)
+      || is_record_stale (client, now))
+    {
+      client->record_changed_at = now;
+      client->config.take_over (client->config.userdata, revision, &record);
+    }
+}
+
+static void
+on_record_read (struct rst_store_answer *answer, void *userdata)
+{
+  struct rst_planner_client *client = userdata;
+  const struct rst_store_item *item = NULL;
+
+  client->reading = false;
+  client->next_read = client->config.now () + READ_INTERVAL_MS;
+  if (answer->result == RST_RESULT_OK && answer->items->len > 0)
+    item = g_ptr_array_index (answer->items, 0);
+  if (item != NULL || answer->result == RST_RESULT_ABSENT)
+    evaluate_record (client, item);
+  rst_store_answer_free (answer);
+}
+
+rst_ms
+rst_planner_client_run (struct rst_planner_client *client)
+{
+  const struct rst_backend *backend = client->config.backend;
+  rst_ms now = client->config.now ();
+  bool is_connected = client->welcomed
+                      && now - client->confirmed_at < CONFIRMATION_AGE_MAX_MS;
+
+  if (client->link != 0 && !client->welcomed
+      && now - client->connect_started_at > WELCOME_TIMEOUT_MS)
+    close_link (client);
+  if (is_connected || client->reading)
+    return now + IDLE_MS;
+  if (now < client->next_read)
+    return client->next_read;
+  client->reading = true;
+  backend->store_get (backend->userdata, RST_PLANNER_RECORD_KEY,
+                      on_record_read, client);
+  return now + IDLE_MS;
+}
--- a/src/cell/planstats.h
+++ b/src/cell/planstats.h
@@ -27,7 +27,7 @@
  * @ends: Runs ended, by enum rst_end.
  * @advice_calls: Calls for advice.
  * @advice_failed: Those without a usable answer.
- * @paced: Orders on the pace of tasks.
+ * @pace_orders: Orders on the pace of tasks.
  * @commits: Segments appended to the journal.
  * @commit_ms: Time from a commit to the store's word.
  * @advice_ms: Time from a call for advice to its answer.
@@ -48,7 +48,7 @@
   uint64_t ends[RST_END_KINDS];
   uint64_t advice_calls;
   uint64_t advice_failed;
-  uint64_t paced;
+  uint64_t pace_orders;
   uint64_t commits;
   struct rst_histogram commit_ms;
   struct rst_histogram advice_ms;
--- a/src/daemon/cell_metrics.c
+++ b/src/daemon/cell_metrics.c
@@ -119,7 +119,7 @@
                        "Calls for advice without a usable answer.",
                        stats->advice_failed);
   rst_metrics_counter (page, "paced_total", "Orders on the pace of tasks.",
-                       stats->paced);
+                       stats->pace_orders);
   rst_metrics_counter (page, "commits_total", "Segments appended.",
                        stats->commits);
 }
@@ -166,13 +166,13 @@
 {
   rst_metrics_family (page, "queue_pending", "gauge",
                       "Jobs of which no task has started.");
-  rst_planner_each_queue (planner, add_pending, page);
+  rst_planner_foreach_queue (planner, add_pending, page);
   rst_metrics_family (page, "first_start_seconds", "histogram",
                       "Time from handing a job in to the first order for it.");
-  rst_planner_each_queue (planner, add_first_start, page);
+  rst_planner_foreach_queue (planner, add_first_start, page);
   rst_metrics_family (page, "job_seconds", "histogram",
                       "Time from handing a job in to its completion.");
-  rst_planner_each_queue (planner, add_job_time, page);
+  rst_planner_foreach_queue (planner, add_job_time, page);
 }
 
 char *
--- a/src/daemon/cell_node.c
+++ b/src/daemon/cell_node.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "cell/agent.h"
-#include "cell/seeker.h"
+#include "cell/planner_client.h"
 #include "daemon/term.h"
 #include "util/log.h"
 
@@ -19,7 +19,7 @@
 {
   struct rst_cell_node_config config;
   struct rst_agent *agent;
-  struct rst_seeker *seeker;
+  struct rst_planner_client *planner_client;
   struct rst_term *term;
   bool term_over;
   char former[RST_ADDRESS_SIZE];
@@ -57,7 +57,7 @@
 {
   struct rst_cell_node *node = userdata;
 
-  rst_seeker_send (node->seeker, data, length);
+  rst_planner_client_send (node->planner_client, data, length);
 }
 
 static void
@@ -65,7 +65,7 @@
 {
   struct rst_cell_node *node = userdata;
 
-  rst_agent_message (node->agent, kind, reader);
+  rst_agent_handle_message (node->agent, kind, reader);
 }
 
 static void
@@ -74,7 +74,7 @@
   struct rst_cell_node *node = userdata;
 
   (void)serving;
-  rst_agent_alive (node->agent, 0);
+  rst_agent_handle_heartbeat (node->agent, 0);
 }
 
 static void
@@ -88,7 +88,7 @@
 {
   struct rst_cell_node *node = userdata;
 
-  rst_agent_alive (node->agent, store_age_ms);
+  rst_agent_handle_heartbeat (node->agent, store_age_ms);
 }
 
 static void
@@ -118,7 +118,7 @@
   if (node->term == NULL)
     return;
   rst_pack_init (&pack, 3);
-  rst_pack_int (&pack, RST_MSG_MOVED);
+  rst_pack_int (&pack, RST_MSG_REDIRECT);
   rst_pack_int (&pack, rst_term_epoch (node->term));
   rst_pack_text (&pack, node->config.address);
   send_frame (node, node->former_link, pack.buffer.data, pack.buffer.size);
@@ -126,7 +126,8 @@
 }
 
 static void
-on_take (void *userdata, int64_t revision, const struct rst_seat *seat)
+on_take (void *userdata, int64_t revision,
+         const struct rst_planner_record *record)
 {
   struct rst_cell_node *node = userdata;
   struct rst_term_config config = { 0 };
@@ -141,25 +142,25 @@
   config.won = on_term_won;
   config.ended = on_term_ended;
   config.userdata = node;
-  config.bounds = node->config.bounds;
+  config.timing = node->config.timing;
   config.name = node->config.name;
   config.address = node->config.address;
-  g_strlcpy (node->former, seat->address, sizeof node->former);
-  node->term = rst_term_create (&config, revision, seat);
+  g_strlcpy (node->former, record->address, sizeof node->former);
+  node->term = rst_term_create (&config, revision, record);
 }
 
 void
 rst_cell_node_link (struct rst_cell_node *node, enum rst_net_event event,
                     uint64_t link, const void *data, size_t length)
 {
-  bool ours = rst_seeker_owns (node->seeker, link);
+  bool ours = rst_planner_client_owns_link (node->planner_client, link);
 
   if (event == RST_NET_OPENED && ours)
-    rst_seeker_opened (node->seeker);
+    rst_planner_client_link_opened (node->planner_client);
   else if (event == RST_NET_FRAME && ours)
-    rst_seeker_frame (node->seeker, data, length);
+    rst_planner_client_handle_frame (node->planner_client, data, length);
   else if (event == RST_NET_CLOSED && ours)
-    rst_seeker_closed (node->seeker);
+    rst_planner_client_link_closed (node->planner_client);
   else if (event == RST_NET_OPENED && link == node->former_link)
     tell_former (node);
   else if (event == RST_NET_FRAME && node->term != NULL)
@@ -183,7 +184,7 @@
 {
   rst_ms wake = rst_agent_run (node->agent);
 
-  wake = MIN (wake, rst_seeker_run (node->seeker));
+  wake = MIN (wake, rst_planner_client_run (node->planner_client));
   if (node->term != NULL && !node->term_over)
     wake = MIN (wake, rst_term_run (node->term));
   if (node->term_over)
@@ -226,7 +227,7 @@
 {
   struct rst_cell_node *node = g_new0 (struct rst_cell_node, 1);
   struct rst_agent_config agent = { 0 };
-  struct rst_seeker_config seeker = { 0 };
+  struct rst_planner_client_config planner_client = { 0 };
 
   node->config = *config;
   node->config.name = g_strdup (config->name);
@@ -236,26 +237,26 @@
   agent.send = agent_send;
   agent.now = config->now;
   agent.userdata = node;
-  agent.lease_ms = config->bounds.lease_ms - LEASE_MARGIN_MS;
-  agent.keep_ms = config->bounds.keep_ms;
+  agent.lease_ms = config->timing.lease_ms - LEASE_MARGIN_MS;
+  agent.unconfirmed_renewal_ms = config->timing.unconfirmed_renewal_ms;
   node->agent = rst_agent_create (&agent);
-  seeker.backend = config->backend;
-  seeker.now = config->now;
-  seeker.connect = open_link;
-  seeker.close = close_link;
-  seeker.send = send_frame;
-  seeker.message = on_message;
-  seeker.linked = on_linked;
-  seeker.lost = on_lost;
-  seeker.alive = on_alive;
-  seeker.take = on_take;
-  seeker.userdata = node;
-  seeker.role = RST_ROLE_AGENT;
-  seeker.name = node->config.name;
-  seeker.zone = node->config.zone;
-  seeker.jitter_ms = config->jitter_ms;
-  seeker.reserve_ms = config->reserve_ms;
-  node->seeker = rst_seeker_create (&seeker);
+  planner_client.backend = config->backend;
+  planner_client.now = config->now;
+  planner_client.connect = open_link;
+  planner_client.close = close_link;
+  planner_client.send = send_frame;
+  planner_client.on_message = on_message;
+  planner_client.on_connected = on_linked;
+  planner_client.on_disconnected = on_lost;
+  planner_client.on_heartbeat = on_alive;
+  planner_client.take_over = on_take;
+  planner_client.userdata = node;
+  planner_client.role = RST_ROLE_AGENT;
+  planner_client.name = node->config.name;
+  planner_client.zone = node->config.zone;
+  planner_client.jitter_ms = config->jitter_ms;
+  planner_client.standby_delay_ms = config->standby_delay_ms;
+  node->planner_client = rst_planner_client_create (&planner_client);
   return node;
 }
 
@@ -266,7 +267,7 @@
     return;
   rst_term_destroy (node->term);
   rst_agent_destroy (node->agent);
-  rst_seeker_destroy (node->seeker);
+  rst_planner_client_destroy (node->planner_client);
   g_free ((char *)node->config.name);
   g_free ((char *)node->config.zone);
   g_free ((char *)node->config.address);
--- a/src/daemon/cell_node.h
+++ b/src/daemon/cell_node.h
@@ -24,9 +24,9 @@
  * @name: Name of this process; copied.
  * @zone: Its availability zone; copied.
  * @address: Where it listens; copied.
- * @bounds: Times for the planner.
+ * @timing: Times for the planner.
  * @jitter_ms: Own share of the wait before taking over.
- * @reserve_ms: Further wait of a machine too small to plan well.
+ * @standby_delay_ms: Further wait of a machine too small to plan well.
  */
 struct rst_cell_node_config
 {
@@ -41,9 +41,9 @@
   const char *name;
   const char *zone;
   const char *address;
-  struct rst_planner_bounds bounds;
+  struct rst_planner_timing timing;
   rst_ms jitter_ms;
-  rst_ms reserve_ms;
+  rst_ms standby_delay_ms;
 };
 
 /** rst_cell_node_create() - A node that seeks the planner. */
--- a/src/daemon/celld.c
+++ b/src/daemon/celld.c
@@ -138,7 +138,7 @@
 /* The planner's work of 350 instances took 0.13 cores; a machine near that
    leaves the role to larger ones. */
 static rst_ms
-reserve_ms (const struct settings *settings)
+standby_delay_ms (const struct settings *settings)
 {
   double share = g_ascii_strtod (settings->cpu_share, NULL);
   double link = g_ascii_strtod (settings->link_mbps, NULL);
@@ -166,12 +166,12 @@
   config.name = settings->name;
   config.zone = settings->zone;
   config.address = rst_cell_loop_address (celld->loop);
-  config.bounds.keep_ms = KEEP_MS;
-  config.bounds.lease_ms = settings->hold_max_ms;
-  config.bounds.status_ms = settings->status_s * 1000;
-  config.bounds.early_ms = settings->early_ms;
+  config.timing.unconfirmed_renewal_ms = KEEP_MS;
+  config.timing.lease_ms = settings->hold_max_ms;
+  config.timing.status_ms = settings->status_s * 1000;
+  config.timing.early_ms = settings->early_ms;
   config.jitter_ms = (rst_ms)(rst_os_random () % JITTER_MS);
-  config.reserve_ms = reserve_ms (settings);
+  config.standby_delay_ms = standby_delay_ms (settings);
   celld->node = rst_cell_node_create (&config);
 }
 
--- a/src/daemon/follow.c
+++ b/src/daemon/follow.c
@@ -67,7 +67,7 @@
 }
 
 static void
-apply (struct rst_follow *follow, const struct rst_item *item)
+apply (struct rst_follow *follow, const struct rst_store_item *item)
 {
   if (item->deleted)
     g_hash_table_remove (follow->known, item->key);
@@ -84,7 +84,7 @@
 
   for (GList *at = keys; at != NULL; at = at->next)
     {
-      struct rst_item gone = { 0 };
+      struct rst_store_item gone = { 0 };
 
       if (g_hash_table_contains (follow->listed, at->data))
         continue;
@@ -104,13 +104,13 @@
     follow->revision = answer->revision;
   for (guint i = 0; i < answer->items->len; i++)
     {
-      const struct rst_item *item = g_ptr_array_index (answer->items, i);
+      const struct rst_store_item *item = g_ptr_array_index (answer->items, i);
 
       g_hash_table_add (follow->listed, g_strdup (item->key));
       g_strlcpy (follow->after, item->key, sizeof follow->after);
       apply (follow, item);
     }
-  if (answer->more)
+  if (answer->has_more)
     return;
   apply_absent (follow);
   g_hash_table_destroy (follow->listed);
--- a/src/daemon/follow.h
+++ b/src/daemon/follow.h
@@ -30,7 +30,7 @@
   const char *prefix;
   rst_ms wait_ms;
   rst_ms pause_ms;
-  void (*apply) (void *userdata, const struct rst_item *item);
+  void (*apply) (void *userdata, const struct rst_store_item *item);
   void (*read) (void *userdata);
   void *userdata;
 };
--- a/src/daemon/jobd.c
+++ b/src/daemon/jobd.c
@@ -11,7 +11,7 @@
 #include <unistd.h>
 
 #include "adapter.h"
-#include "cell/seeker.h"
+#include "cell/planner_client.h"
 #include "daemon/cell_loop.h"
 #include "daemon/cell_metrics.h"
 #include "transport/http_client.h"
@@ -84,7 +84,7 @@
   struct rst_cell_loop *loop;
   struct rst_http_client *client;
   struct rst_adapter *adapter;
-  struct rst_seeker *seeker;
+  struct rst_planner_client *planner_client;
   struct rst_http_server *callers;
   struct rst_http_server *checks;
   GHashTable *pending;
@@ -178,8 +178,8 @@
 {
   if (!jobd->serving || pending->sent)
     return;
-  pending->sent = rst_seeker_send (jobd->seeker, pending->frame->data,
-                                   pending->frame->len);
+  pending->sent = rst_planner_client_send (
+      jobd->planner_client, pending->frame->data, pending->frame->len);
 }
 
 static const char *
@@ -331,16 +331,16 @@
     case RST_OUTCOME_NO_QUEUE:
       refuse_pending (jobd, pending, 404, "no such queue", 0);
       break;
-    case RST_OUTCOME_NO_KEY:
+    case RST_OUTCOME_INVALID_KEY:
       refuse_pending (jobd, pending, 401, "unknown key", 0);
       break;
     case RST_OUTCOME_NO_JOB:
       refuse_pending (jobd, pending, 410, "no such job", 0);
       break;
-    case RST_OUTCOME_BAD:
+    case RST_OUTCOME_MALFORMED:
       refuse_pending (jobd, pending, 400, "not a job", 0);
       break;
-    case RST_OUTCOME_REFUSED:
+    case RST_OUTCOME_REJECTED:
       refuse_pending (jobd, pending, pending->sent_before ? 504 : 503,
                       "turned away", retry_s);
       break;
@@ -353,11 +353,11 @@
 static void
 take_reply (struct jobd *jobd, struct rst_reader *reader)
 {
-  uint64_t number = (uint64_t)rst_reader_int (reader);
-  enum rst_outcome outcome = (enum rst_outcome)rst_reader_int (reader);
-  int64_t state = rst_reader_int (reader);
-  int64_t count = rst_reader_int (reader);
-  unsigned retry_s = (unsigned)rst_reader_int (reader);
+  uint64_t number = (uint64_t)rst_reader_read_int (reader);
+  enum rst_outcome outcome = (enum rst_outcome)rst_reader_read_int (reader);
+  int64_t state = rst_reader_read_int (reader);
+  int64_t count = rst_reader_read_int (reader);
+  unsigned retry_s = (unsigned)rst_reader_read_int (reader);
   struct pending *pending = g_hash_table_lookup (jobd->pending, &number);
 
   if (pending == NULL || reader->bad)
@@ -448,14 +448,14 @@
 {
   struct jobd *jobd = userdata;
 
-  if (!rst_seeker_owns (jobd->seeker, link))
+  if (!rst_planner_client_owns_link (jobd->planner_client, link))
     return;
   if (event == RST_NET_OPENED)
-    rst_seeker_opened (jobd->seeker);
+    rst_planner_client_link_opened (jobd->planner_client);
   else if (event == RST_NET_FRAME)
-    rst_seeker_frame (jobd->seeker, data, length);
+    rst_planner_client_handle_frame (jobd->planner_client, data, length);
   else
-    rst_seeker_closed (jobd->seeker);
+    rst_planner_client_link_closed (jobd->planner_client);
 }
 
 static rst_ms
@@ -463,7 +463,7 @@
 {
   struct jobd *jobd = userdata;
   rst_ms now = rst_os_now ();
-  rst_ms wake = rst_seeker_run (jobd->seeker);
+  rst_ms wake = rst_planner_client_run (jobd->planner_client);
   bool any = g_hash_table_size (jobd->pending) > 0;
 
   if (any && now >= jobd->next_sweep)
@@ -521,25 +521,25 @@
 }
 
 static void
-create_seeker (struct jobd *jobd)
-{
-  struct rst_seeker_config seeker = { 0 };
-
-  seeker.backend = rst_cell_loop_backend (jobd->loop,
-                                          rst_adapter_backend (jobd->adapter));
-  seeker.now = rst_os_now;
-  seeker.connect = open_link;
-  seeker.close = close_link;
-  seeker.send = send_frame;
-  seeker.message = on_message;
-  seeker.linked = on_linked;
-  seeker.lost = on_lost;
-  seeker.alive = on_alive;
-  seeker.userdata = jobd;
-  seeker.role = RST_ROLE_ENTRY;
-  seeker.name = jobd->settings.name;
-  seeker.zone = jobd->settings.zone;
-  jobd->seeker = rst_seeker_create (&seeker);
+create_planner_client (struct jobd *jobd)
+{
+  struct rst_planner_client_config planner_client = { 0 };
+
+  planner_client.backend = rst_cell_loop_backend (
+      jobd->loop, rst_adapter_backend (jobd->adapter));
+  planner_client.now = rst_os_now;
+  planner_client.connect = open_link;
+  planner_client.close = close_link;
+  planner_client.send = send_frame;
+  planner_client.on_message = on_message;
+  planner_client.on_connected = on_linked;
+  planner_client.on_disconnected = on_lost;
+  planner_client.on_heartbeat = on_alive;
+  planner_client.userdata = jobd;
+  planner_client.role = RST_ROLE_ENTRY;
+  planner_client.name = jobd->settings.name;
+  planner_client.zone = jobd->settings.zone;
+  jobd->planner_client = rst_planner_client_create (&planner_client);
 }
 
 static bool
@@ -606,7 +606,7 @@
   if (jobd.loop == NULL || jobd.client == NULL)
     return EXIT_FAILURE;
   jobd.adapter = rst_adapter_create (jobd.client, jobd.settings.store, "");
-  create_seeker (&jobd);
+  create_planner_client (&jobd);
   if (rst_cell_loop_listen (jobd.loop, NULL) != RST_TRANSPORT_OK
       || !open_servers (&jobd))
     return EXIT_FAILURE;
--- a/src/daemon/observe.c
+++ b/src/daemon/observe.c
@@ -9,7 +9,7 @@
 #define LOG_PREFIX "observe"
 
 static void
-take_config (struct rst_planner *planner, const struct rst_item *item)
+take_config (struct rst_planner *planner, const struct rst_store_item *item)
 {
   char *problem = NULL;
   struct rst_cellconfig *config;
@@ -33,28 +33,30 @@
 
 void
 rst_observe_operators (struct rst_planner *planner,
-                       const struct rst_item *item)
+                       const struct rst_store_item *item)
 {
   size_t length = strlen (RST_PLATFORM_EVACUATE_PREFIX);
 
   if (strcmp (item->key, RST_PLATFORM_CONFIG_KEY) == 0)
     take_config (planner, item);
   else if (strncmp (item->key, RST_PLATFORM_EVACUATE_PREFIX, length) == 0)
-    rst_planner_evacuate (planner, item->key + length, !item->deleted);
+    rst_planner_set_zone_evacuated (planner, item->key + length,
+                                    !item->deleted);
 }
 
 void
-rst_observe_instance (struct rst_planner *planner, const struct rst_item *item)
+rst_observe_instance (struct rst_planner *planner,
+                      const struct rst_store_item *item)
 {
   const char *id = item->key + strlen (RST_PLATFORM_INSTANCE_PREFIX);
   struct rst_instance_entry entry;
 
   if (item->deleted)
-    rst_planner_instance_gone (planner, id);
+    rst_planner_remove_instance (planner, id);
   else if (item->value != NULL
            && rst_adapter_read_instance (id, (const char *)item->value,
                                          &entry))
-    rst_planner_instance (planner, &entry);
+    rst_planner_update_instance (planner, &entry);
   else
     rst_info (LOG_PREFIX, "Entry names no usable instance.", "id", id);
 }
--- a/src/daemon/term.c
+++ b/src/daemon/term.c
@@ -96,7 +96,7 @@
   struct rst_pack pack;
 
   rst_pack_init (&pack, 2);
-  rst_pack_int (&pack, RST_MSG_ALIVE);
+  rst_pack_int (&pack, RST_MSG_HEARTBEAT);
   rst_pack_int (&pack, age);
   send_to_all (term, &pack);
   rst_pack_clear (&pack);
@@ -112,8 +112,8 @@
   struct rst_pack pack;
   int count = 1;
 
-  rst_seat_pack (&pack, &term->seat);
-  writes[0].key = RST_SEEKER_KEY;
+  rst_planner_record_pack (&pack, &term->record);
+  writes[0].key = RST_PLANNER_RECORD_KEY;
   writes[0].value = pack.buffer.data;
   writes[0].length = pack.buffer.size;
   writes[0].expected = term->revision;
@@ -150,7 +150,7 @@
   term->resigned = term->resigning;
   term->sent = term->waiting;
   term->waiting = none;
-  term->seat.counter++;
+  term->record.counter++;
   send_commit (term);
 }
 
@@ -170,14 +170,14 @@
       term->sent.segment = NULL;
       rst_planner_set_time (term->planner, term->config.now (),
                             term->config.unix_now ());
-      rst_planner_committed (term->planner);
+      rst_planner_commit_done (term->planner);
     }
   if (!term->won)
     {
       term->won = true;
       begin_reading (term);
     }
-  rst_planner_confirmed (term->planner, term->sent_at);
+  rst_planner_set_confirmed (term->planner, term->sent_at);
   if (!term->committing
       && (term->waiting.segment != NULL || term->resigning != term->resigned))
     begin_commit (term);
@@ -187,24 +187,25 @@
 static void
 commit_conflict (struct rst_term *term, const struct rst_store_answer *answer)
 {
-  struct rst_seat seat = { 0 };
-  const struct rst_item *item = NULL;
+  struct rst_planner_record record = { 0 };
+  const struct rst_store_item *item = NULL;
 
   for (guint i = 0; i < answer->items->len; i++)
     {
-      const struct rst_item *at = g_ptr_array_index (answer->items, i);
+      const struct rst_store_item *at = g_ptr_array_index (answer->items, i);
 
-      if (strcmp (at->key, RST_SEEKER_KEY) == 0)
+      if (strcmp (at->key, RST_PLANNER_RECORD_KEY) == 0)
         item = at;
     }
   if (item != NULL && item->value != NULL
-      && rst_seat_read (&seat, item->value, item->length)
-      && seat.epoch == term->seat.epoch && seat.counter == term->seat.counter
-      && strcmp (seat.name, term->seat.name) == 0)
+      && rst_planner_record_read (&record, item->value, item->length)
+      && record.epoch == term->record.epoch
+      && record.counter == term->record.counter
+      && strcmp (record.name, term->record.name) == 0)
     commit_done (term, item->revision);
-  else if (item != NULL && term->won && seat.epoch > term->seat.epoch
-           && seat.address[0] != '\0')
-    rst_term_moved (term, seat.epoch, seat.address);
+  else if (item != NULL && term->won && record.epoch > term->record.epoch
+           && record.address[0] != '\0')
+    rst_term_moved (term, record.epoch, record.address);
   else
     end_term (term, term->won ? "another planner" : "another was first");
 }
@@ -214,10 +215,10 @@
 {
   struct rst_pack pack;
 
-  if (epoch <= term->seat.epoch)
+  if (epoch <= term->record.epoch)
     return;
   rst_pack_init (&pack, 3);
-  rst_pack_int (&pack, RST_MSG_MOVED);
+  rst_pack_int (&pack, RST_MSG_REDIRECT);
   rst_pack_int (&pack, epoch);
   rst_pack_text (&pack, address);
   send_to_all (term, &pack);
@@ -235,7 +236,7 @@
   g_snprintf (bytes, sizeof bytes, "%u",
               term->sent.segment != NULL ? term->sent.segment->len : 0);
   rst_info (RST_TERM_LOG, "Commit is sent again.", "result",
-            rst_result_text (result), "bytes", bytes);
+            rst_result_name (result), "bytes", bytes);
   send_alive (term, MAX (now - term->committed_at, TROUBLED_AGE_MS));
   term->next_alive = now + ALIVE_MS;
 }
@@ -304,7 +305,7 @@
 
   rst_pack_init (&pack, 3);
   rst_pack_int (&pack, RST_MSG_WELCOME);
-  rst_pack_int (&pack, term->seat.epoch);
+  rst_pack_int (&pack, term->record.epoch);
   rst_pack_int (&pack, term->serving ? 1 : 0);
   send_to (term, link, pack.buffer.data, pack.buffer.size);
   rst_pack_clear (&pack);
@@ -323,26 +324,27 @@
   struct rst_planner_ops ops = { send_to, send_reply, commit, term };
   char epoch[24];
 
-  g_snprintf (epoch, sizeof epoch, "%" PRId64, term->seat.epoch);
+  g_snprintf (epoch, sizeof epoch, "%" PRId64, term->record.epoch);
   rst_info (RST_TERM_LOG, "This process is the planner.", "epoch", epoch);
   term->config.won (term->config.userdata);
   term->planner
-      = rst_planner_create (&ops, &term->config.bounds, term->seat.epoch);
+      = rst_planner_create (&ops, &term->config.timing, term->record.epoch);
   term->reading = READING_JOURNAL;
   rst_term_read_journal (term);
 }
 
 struct rst_term *
 rst_term_create (const struct rst_term_config *config, int64_t revision,
-                 const struct rst_seat *seat)
+                 const struct rst_planner_record *record)
 {
   struct rst_term *term = g_new0 (struct rst_term, 1);
 
   term->config = *config;
   term->revision = revision;
-  term->seat.epoch = seat->epoch + 1;
-  g_strlcpy (term->seat.name, config->name, sizeof term->seat.name);
-  g_strlcpy (term->seat.address, config->address, sizeof term->seat.address);
+  term->record.epoch = record->epoch + 1;
+  g_strlcpy (term->record.name, config->name, sizeof term->record.name);
+  g_strlcpy (term->record.address, config->address,
+             sizeof term->record.address);
   term->links
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   begin_commit (term);
@@ -352,16 +354,16 @@
 static void
 take_hello (struct rst_term *term, uint64_t link, struct rst_reader *reader)
 {
-  enum rst_role role = (enum rst_role)rst_reader_int (reader);
-  char *name = rst_reader_text (reader);
-  char *zone = rst_reader_text (reader);
+  enum rst_role role = (enum rst_role)rst_reader_read_int (reader);
+  char *name = rst_reader_read_text (reader);
+  char *zone = rst_reader_read_text (reader);
   uint64_t *key = g_new (uint64_t, 1);
 
   *key = link;
   g_hash_table_add (term->links, key);
   send_welcome (term, link);
   if (role == RST_ROLE_AGENT)
-    rst_planner_agent (term->planner, link, name, zone);
+    rst_planner_add_agent (term->planner, link, name, zone);
   g_free (name);
   g_free (zone);
 }
@@ -376,18 +378,18 @@
   char *key;
 
   call.link = link;
-  call.number = (uint64_t)rst_reader_int (reader);
-  call.operation = (enum rst_operation)rst_reader_int (reader);
-  host = rst_reader_text (reader);
-  path = rst_reader_text (reader);
-  key = rst_reader_text (reader);
+  call.number = (uint64_t)rst_reader_read_int (reader);
+  call.operation = (enum rst_operation)rst_reader_read_int (reader);
+  host = rst_reader_read_text (reader);
+  path = rst_reader_read_text (reader);
+  key = rst_reader_read_text (reader);
   inner = *reader;
   if (call.operation == RST_OPERATION_SUBMIT && !reader->bad)
     call.desc = rst_jobdesc_read (&inner);
   call.host = host;
   call.path = path;
   call.key = key;
-  rst_planner_call (term->planner, &call);
+  rst_planner_receive_call (term->planner, &call);
   g_free (host);
   g_free (path);
   g_free (key);
@@ -397,9 +399,9 @@
 take_moved (struct rst_term *term, struct rst_reader *reader)
 {
   char address[RST_ADDRESS_SIZE];
-  int64_t epoch = rst_reader_int (reader);
+  int64_t epoch = rst_reader_read_int (reader);
 
-  rst_reader_copy (reader, address, sizeof address);
+  rst_reader_copy_text (reader, address, sizeof address);
   if (!reader->bad)
     rst_term_moved (term, epoch, address);
 }
@@ -420,14 +422,14 @@
       term->config.close (term->config.userdata, link);
       return;
     }
-  kind = (int)rst_reader_int (&reader);
+  kind = (int)rst_reader_read_int (&reader);
   rst_term_set_time (term);
   if (kind == RST_MSG_HELLO)
     take_hello (term, link, &reader);
-  else if (kind == RST_MSG_MOVED)
+  else if (kind == RST_MSG_REDIRECT)
     take_moved (term, &reader);
   else if (kind != RST_MSG_CALL)
-    rst_planner_message (term->planner, link, kind, &reader);
+    rst_planner_receive_message (term->planner, link, kind, &reader);
   else if (term->serving)
     take_call (term, link, &reader);
   msgpack_unpacked_destroy (&unpacked);
@@ -487,7 +489,7 @@
       rst_term_read_journal (term);
     }
   rst_planner_set_time (term->planner, now, term->config.unix_now ());
-  if (!term->serving && rst_planner_ready (term->planner))
+  if (!term->serving && rst_planner_is_ready (term->planner))
     begin_serving (term);
   if (now >= term->next_alive)
     {
@@ -505,7 +507,7 @@
 rst_term_resign (struct rst_term *term)
 {
   term->resigning = true;
-  term->seat.address[0] = '\0';
+  term->record.address[0] = '\0';
   if (!term->committing)
     begin_commit (term);
 }
@@ -519,7 +521,7 @@
 int64_t
 rst_term_epoch (const struct rst_term *term)
 {
-  return term->seat.epoch;
+  return term->record.epoch;
 }
 
 const struct rst_planner *
--- a/src/daemon/term.h
+++ b/src/daemon/term.h
@@ -10,7 +10,7 @@
 #define RST_TERM_H
 
 #include "cell/planner.h"
-#include "cell/seeker.h"
+#include "cell/planner_client.h"
 
 struct rst_term;
 
@@ -25,7 +25,7 @@
  * @ended: Another process is the planner; the term is to be destroyed, but
  *   not within the call.
  * @userdata: Passed to each.
- * @bounds: Times for the planner.
+ * @timing: Times for the planner.
  * @name: Name of this process.
  * @address: Where this process listens.
  */
@@ -40,7 +40,7 @@
   void (*won) (void *userdata);
   void (*ended) (void *userdata);
   void *userdata;
-  struct rst_planner_bounds bounds;
+  struct rst_planner_timing timing;
   const char *name;
   const char *address;
 };
@@ -48,11 +48,11 @@
 /**
  * rst_term_create() - Tries to win the planner's key.
  * @revision: Revision at which the key was seen; 0 when it was absent.
- * @seat: What it held.
+ * @record: What it held.
  */
 struct rst_term *rst_term_create (const struct rst_term_config *config,
                                   int64_t revision,
-                                  const struct rst_seat *seat);
+                                  const struct rst_planner_record *record);
 
 /**
  * rst_term_destroy() - Ends a term.
--- a/src/daemon/term_private.h
+++ b/src/daemon/term_private.h
@@ -42,7 +42,7 @@
 struct rst_term
 {
   struct rst_term_config config;
-  struct rst_seat seat;
+  struct rst_planner_record record;
   int64_t revision;
   bool won;
   bool ended;
--- a/src/daemon/term_read.c
+++ b/src/daemon/term_read.c
@@ -13,7 +13,7 @@
 #define INSTANCES_EVERY_MS 200
 
 static void
-apply_operators (void *userdata, const struct rst_item *item)
+apply_operators (void *userdata, const struct rst_store_item *item)
 {
   struct rst_term *term = userdata;
 
@@ -22,7 +22,7 @@
 }
 
 static void
-apply_instance (void *userdata, const struct rst_item *item)
+apply_instance (void *userdata, const struct rst_store_item *item)
 {
   struct rst_term *term = userdata;
 
@@ -46,7 +46,7 @@
   for (guint i = 0; answer->result == RST_RESULT_OK && i < answer->items->len;
        i++)
     {
-      const struct rst_item *item = g_ptr_array_index (answer->items, i);
+      const struct rst_store_item *item = g_ptr_array_index (answer->items, i);
       int64_t segment = (int64_t)strtoull (
           item->key + strlen (RST_SEGMENT_PREFIX), NULL, 16);
 
@@ -58,7 +58,7 @@
     }
   if (answer->result != RST_RESULT_OK)
     term->read_at = term->config.now () + RST_TERM_AGAIN_MS;
-  else if (answer->more)
+  else if (answer->has_more)
     rst_term_read_journal (term);
   else
     next_reading (term);
@@ -86,7 +86,7 @@
 
 static struct rst_follow *
 start_following (struct rst_term *term, const char *prefix,
-                 void (*apply) (void *, const struct rst_item *),
+                 void (*apply) (void *, const struct rst_store_item *),
                  rst_ms pause_ms)
 {
   struct rst_follow_config config = { 0 };
@@ -113,5 +113,5 @@
     term->instances = start_following (term, RST_PLATFORM_INSTANCE_PREFIX,
                                        apply_instance, INSTANCES_EVERY_MS);
   else
-    rst_planner_restored (term->planner);
+    rst_planner_finish_restore (term->planner);
 }
--- a/test/cell/store.cc
+++ b/test/cell/store.cc
@@ -121,7 +121,7 @@
 static void
 add_item (rst_store_answer *answer, const std::string &key, const Item *item)
 {
-  rst_item *out = g_new0 (rst_item, 1);
+  rst_store_item *out = g_new0 (rst_store_item, 1);
 
   out->key = g_strdup (key.c_str ());
   if (item != nullptr)
@@ -166,7 +166,7 @@
         continue;
       if (answer->items->len == 40)
         {
-          answer->more = true;
+          answer->has_more = true;
           break;
         }
       add_item (answer, entry.first, &entry.second);
--- a/test/cell/workers.cc
+++ b/test/cell/workers.cc
@@ -50,14 +50,14 @@
 
 static void
 add_run (rst_instance_answer *answer, int64_t number, const std::string &task,
-         int attempt, int how)
+         int attempt, int end_reason)
 {
   rst_run run = {};
 
   run.number = number;
   g_strlcpy (run.task, task.c_str (), sizeof run.task);
   run.attempt = attempt;
-  run.how = how;
+  run.end_reason = end_reason;
   g_array_append_val (answer->runs, run);
 }
 
@@ -69,7 +69,7 @@
   for (auto &entry : worker.runs)
     add_run (answer, 0, entry.first, entry.second.attempt, 0);
   for (auto &end : worker.ends)
-    add_run (answer, end.number, end.task, end.attempt, end.how);
+    add_run (answer, end.number, end.task, end.attempt, end.end_reason);
 }
 
 // An end is noted when the caller lets the instance forget it.
@@ -81,9 +81,9 @@
       const End &end = worker.ends.front ();
       Job &job = jobs[job_of (end.task)];
 
-      if (end.how == RST_END_DONE)
+      if (end.end_reason == RST_END_DONE)
         job.noted.insert (end.task);
-      if (end.how == RST_END_FAILED)
+      if (end.end_reason == RST_END_FAILED)
         job.failed[end.task]++;
       worker.ends.erase (worker.ends.begin ());
     }
@@ -184,12 +184,12 @@
   if (running != worker.runs.end ()
       || copy.attempt <= worker.highest[copy.task])
     {
-      answer->result = RST_RESULT_OLD;
+      answer->result = RST_RESULT_STALE_ATTEMPT;
       return;
     }
   if (worker.lease <= clock (worker))
     {
-      answer->result = RST_RESULT_LATE;
+      answer->result = RST_RESULT_LEASE_EXPIRED;
       return;
     }
   check_start (worker, copy.task, copy.attempt);
@@ -254,7 +254,7 @@
 }
 
 void
-World::end_run (Worker &worker, const std::string &task, int how)
+World::end_run (Worker &worker, const std::string &task, int end_reason)
 {
   Run run = worker.runs[task];
   Job &job = jobs[job_of (task)];
@@ -262,17 +262,18 @@
 
   worker.runs.erase (task);
   worker.highest[task] = std::max (worker.highest[task], run.attempt);
-  worker.ends.push_back (End{ worker.next_end++, task, run.attempt, how });
-  if (how == RST_END_DONE)
+  worker.ends.push_back (
+      End{ worker.next_end++, task, run.attempt, end_reason });
+  if (end_reason == RST_END_DONE)
     {
       job.done.insert (task);
       for (int i = 0; step.gang && i < step.count; i++)
         job.done.insert (step_of (task) + "." + std::to_string (i));
     }
   // A gang has one count.
-  if (how == RST_END_FAILED)
+  if (end_reason == RST_END_FAILED)
     job.over |= ++job.ended_failed[step.gang ? step_of (task) : task] >= 3;
-  if (how == RST_END_DONE || run.count == 0)
+  if (end_reason == RST_END_DONE || run.count == 0)
     return;
   for (auto &other : workers)
     for (auto &entry : other->runs)
@@ -301,21 +302,21 @@
       if (worker.runs.count (name) == 0)
         continue;
       Run run = worker.runs[name];
-      int how = -1;
+      int end_reason = -1;
 
       if (worker.lease <= clock (worker))
-        how = RST_END_LAPSED;
+        end_reason = RST_END_LEASE_EXPIRED;
       else if (run.alone_at > 0 && now () >= run.alone_at)
-        how = RST_END_ALONE;
+        end_reason = RST_END_GANG_INCOMPLETE;
       else if (now () >= run.ends_at && run.alone_at < 0)
-        how = RST_END_BROKEN;
+        end_reason = RST_END_GANG_BROKEN;
       else if (now () >= run.ends_at && run.stopping)
-        how = RST_END_STOPPED;
+        end_reason = RST_END_STOPPED;
       else if (now () >= run.ends_at)
-        how = run.fails ? RST_END_FAILED : RST_END_DONE;
-      if (how < 0)
+        end_reason = run.fails ? RST_END_FAILED : RST_END_DONE;
+      if (end_reason < 0)
         continue;
-      end_run (worker, name, how);
+      end_run (worker, name, end_reason);
       ended = true;
     }
   if (!ended)
--- a/test/cell/world.cc
+++ b/test/cell/world.cc
@@ -173,7 +173,7 @@
   config.name = node.name.c_str ();
   config.zone = node.zone.c_str ();
   config.address = node.address.c_str ();
-  config.bounds = { 5000, 6000, 120000, 250 };
+  config.timing = { 5000, 6000, 120000, 250 };
   config.jitter_ms = below (120);
   node.node = rst_cell_node_create (&config);
   tick (node);
@@ -383,19 +383,19 @@
 World::entry_connect ()
 {
   at (world_now + 100, [this] { entry_connect (); });
-  auto found = store.find (RST_SEEKER_KEY);
-  rst_seat seat;
+  auto found = store.find (RST_PLANNER_RECORD_KEY);
+  rst_planner_record record;
 
   if (found == store.end ()
-      || !rst_seat_read (&seat, found->second.value.data (),
-                         found->second.value.size ()))
+      || !rst_planner_record_read (&record, found->second.value.data (),
+                                   found->second.value.size ()))
     return;
-  if (entry_link_ != 0 && entry_epoch_ >= seat.epoch)
+  if (entry_link_ != 0 && entry_epoch_ >= record.epoch)
     return;
   if (entry_link_ != 0)
     close (entry_link_, true);
-  entry_epoch_ = seat.epoch;
-  entry_link_ = connect (nullptr, seat.address);
+  entry_epoch_ = record.epoch;
+  entry_link_ = connect (nullptr, record.address);
 }
 
 void
@@ -455,20 +455,20 @@
   rst_reader reader;
 
   rst_reader_open (&reader, &unpacked, data.data (), data.size ());
-  int64_t kind = rst_reader_int (&reader);
+  int64_t kind = rst_reader_read_int (&reader);
 
   if (kind == RST_MSG_WELCOME)
     {
-      rst_reader_int (&reader);
-      entry_serving_ = rst_reader_int (&reader) != 0;
+      rst_reader_read_int (&reader);
+      entry_serving_ = rst_reader_read_int (&reader) != 0;
       for (auto &call : entry_calls_)
         entry_send (call.first);
     }
   else if (kind == RST_MSG_REPLY)
     {
-      uint64_t number = (uint64_t)rst_reader_int (&reader);
-      int64_t outcome = rst_reader_int (&reader);
-      int64_t state = rst_reader_int (&reader);
+      uint64_t number = (uint64_t)rst_reader_read_int (&reader);
+      int64_t outcome = rst_reader_read_int (&reader);
+      int64_t state = rst_reader_read_int (&reader);
       auto found = entry_calls_.find (number);
 
       if (found != entry_calls_.end ())
--- a/test/cell/world.h
+++ b/test/cell/world.h
@@ -18,7 +18,7 @@
 
 extern "C"
 {
-#include "cell/seeker.h"
+#include "cell/planner_client.h"
 #include "daemon/cell_node.h"
 }
 
@@ -61,7 +61,7 @@
   int64_t number;
   std::string task;
   int attempt;
-  int how;
+  int end_reason;
 };
 
 // An order as it travels.
@@ -247,7 +247,7 @@
                      rst_instance_done done, void *data, bool look);
   void check_start (Worker &worker, const std::string &task, int attempt);
   void note_ends (Worker &worker, int64_t last_seen);
-  void end_run (Worker &worker, const std::string &task, int how);
+  void end_run (Worker &worker, const std::string &task, int end_reason);
   double fail_chance (const std::string &task);
   void check_gang (const std::string &step, int count);
   void tick_worker (Worker &worker);
--- a/test/replay/model.cc
+++ b/test/replay/model.cc
@@ -50,7 +50,7 @@
           words >> kind.name >> kind.rate >> kind.tasks >> kind.cpu
               >> kind.memory >> kind.ms >> kind.priority >> kind.slack
               >> kind.target_ms >> kind.gang >> kind.approval >> kind.advice_ms
-              >> kind.advice_each_us;
+              >> kind.advice_per_instance_us;
           out->kinds.push_back (kind);
         }
       else if (word == "burst" || word == "hot")
@@ -118,10 +118,10 @@
     rst_planner_set_policy (cell_.planner, policy.order, policy.fit);
     configure ();
     for (int i = 0; i < load.links; i++)
-      cell_.agent ((uint64_t)i + 1);
+      cell_.add_agent ((uint64_t)i + 1);
     for (int i = 0; i < load.instances; i++)
       enter (i);
-    rst_planner_restored (cell_.planner);
+    rst_planner_finish_restore (cell_.planner);
     for (int i = 0; i < load.instances; i++)
       holders_[id_of (i)] = 1;
     take_sent ();
@@ -201,13 +201,13 @@
         queue->host = g_strdup ("h");
         queue->prefix = g_strdup (("/" + kind.name + "/").c_str ());
         queue->pool = g_strdup ("pool");
-        queue->attempts = 3;
+        queue->max_failures = 3;
         queue->priority = kind.priority;
         queue->slack = (int64_t)(kind.slack * 1000);
         queue->target_ms = kind.target_ms;
-        queue->advised = true;
+        queue->needs_approval = true;
         queue->advice_ms = kind.advice_ms;
-        queue->advice_each_us = kind.advice_each_us;
+        queue->advice_per_instance_us = kind.advice_per_instance_us;
         queue->advice_valid_ms = 2000;
         g_ptr_array_add (config->queues, queue);
       }
@@ -233,8 +233,8 @@
     g_strlcpy (entry.address, "10.0.0.1:80", sizeof entry.address);
     g_strlcpy (entry.zone, "a", sizeof entry.zone);
     g_strlcpy (entry.pool, "pool", sizeof entry.pool);
-    entry.room = { load_.cpu, load_.memory, 0 };
-    rst_planner_instance (cell_.planner, &entry);
+    entry.capacity = { load_.cpu, load_.memory, 0 };
+    rst_planner_update_instance (cell_.planner, &entry);
   }
 
   double
@@ -341,7 +341,7 @@
     if (cell_.commits.empty ())
       return;
     cell_.commits.clear ();
-    at (now_ + store_ms, [this] { rst_planner_committed (cell_.planner); });
+    at (now_ + store_ms, [this] { rst_planner_commit_done (cell_.planner); });
   }
 
   void
@@ -371,7 +371,7 @@
   }
 
   void
-  end (const Sent &message, rst_end how)
+  end (const Sent &message, rst_end end_reason)
   {
     Instance &instance = instances_[message.id];
     Job &job = jobs_[message.task.substr (0, 16)];
@@ -383,9 +383,9 @@
     instance.runs.erase (found);
     busy_cpu_ -= job.kind->cpu;
     instance.ends.push_back (Planner::ended (instance.next_end++, message.task,
-                                             message.attempt, how));
+                                             message.attempt, end_reason));
     report (message.id);
-    if (how == RST_END_DONE && --job.left == 0)
+    if (end_reason == RST_END_DONE && --job.left == 0)
       finish (job);
   }
 
@@ -441,8 +441,9 @@
   advise (const Sent &message)
   {
     const Kind &kind = *jobs_[message.id.substr (0, 16)].kind;
-    rst_ms cost = kind.advice_ms
-                  + (rst_ms)message.ids.size () * kind.advice_each_us / 1000;
+    rst_ms cost
+        = kind.advice_ms
+          + (rst_ms)message.ids.size () * kind.advice_per_instance_us / 1000;
     rst_ms &free_at = advice_free_[message.link];
     std::vector<std::string> approved;
 
--- a/test/replay/model.h
+++ b/test/replay/model.h
@@ -29,7 +29,7 @@
   double gang;
   double approval;
   int64_t advice_ms;
-  int64_t advice_each_us;
+  int64_t advice_per_instance_us;
 };
 
 // More of something for a while.
@@ -61,7 +61,7 @@
 struct Policy
 {
   const char *name;
-  rst_order order;
+  rst_step_order order;
   rst_fit fit;
 };
 
--- a/test/replay/replay.cc
+++ b/test/replay/replay.cc
@@ -5,9 +5,9 @@
 #include "replay/model.h"
 
 static const replay::Policy policies[]
-    = { { "ranked, tightest", RST_ORDER_RANKED, RST_FIT_TIGHTEST },
-        { "ranked, random", RST_ORDER_RANKED, RST_FIT_RANDOM },
-        { "fifo, first fit", RST_ORDER_FIFO, RST_FIT_FIRST } };
+    = { { "ranked, tightest", RST_STEP_ORDER_RANKED, RST_FIT_BEST },
+        { "ranked, random", RST_STEP_ORDER_RANKED, RST_FIT_RANDOM },
+        { "fifo, first fit", RST_STEP_ORDER_FIFO, RST_FIT_FIRST } };
 
 static void
 print_kind (const std::string &name, const replay::KindResult &kind)
--- a/test/unit/adapter_test.cc
+++ b/test/unit/adapter_test.cc
@@ -57,7 +57,7 @@
   call.fence = 3;
   call.task = "t";
   call.attempt = 2;
-  call.paces = true;
+  call.has_percent = true;
   char *body = rst_platform_order_body (&call);
 
   EXPECT_STREQ (body, "{\"fencing_token\":3,\"task\":\"t\",\"attempt\":2,"
@@ -86,9 +86,9 @@
   EXPECT_EQ (first.percent, 41);
   EXPECT_EQ (first.usage, 7);
   EXPECT_EQ (second.number, 58);
-  EXPECT_EQ (second.how, RST_END_FAILED);
-  EXPECT_STREQ (second.saved, "d");
-  EXPECT_EQ (third.how, RST_END_ALONE);
+  EXPECT_EQ (second.end_reason, RST_END_FAILED);
+  EXPECT_STREQ (second.checkpoint, "d");
+  EXPECT_EQ (third.end_reason, RST_END_GANG_INCOMPLETE);
   rst_instance_answer_free (answer);
 }
 
@@ -125,7 +125,7 @@
   EXPECT_STREQ (queue->name, "r");
   EXPECT_STREQ (rest, "x");
   EXPECT_EQ (queue->slack, 2200);
-  EXPECT_EQ (queue->advice_each_us, 7900);
+  EXPECT_EQ (queue->advice_per_instance_us, 7900);
   EXPECT_STREQ (
       rst_cellconfig_route (config, "h.example", "/a/b/x", &rest)->name,
       "longer");
--- a/test/unit/agent_test.cc
+++ b/test/unit/agent_test.cc
@@ -57,20 +57,20 @@
 
       rst_reader_open (&reader, &unpacked, data, length);
       static_cast<Agent *> (userdata)->kinds.push_back (
-          (int)rst_reader_int (&reader));
+          (int)rst_reader_read_int (&reader));
       msgpack_unpacked_destroy (&unpacked);
     };
     config.userdata = this;
     config.lease_ms = 5900;
-    config.keep_ms = 14000;
+    config.unconfirmed_renewal_ms = 14000;
     agent = rst_agent_create (&config);
-    rst_agent_alive (agent, 0);
+    rst_agent_handle_heartbeat (agent, 0);
   }
 
   void
   TearDown () override
   {
-    message (RST_MSG_DROP, { "i" }, {});
+    message (RST_MSG_RELEASE, { "i" }, {});
     while (!calls.empty ())
       answer (RST_RESULT_UNKNOWN);
     rst_agent_destroy (agent);
@@ -90,7 +90,7 @@
     for (int64_t number : numbers)
       rst_pack_int (&pack, number);
     rst_reader_open (&reader, &unpacked, pack.buffer.data, pack.buffer.size);
-    rst_agent_message (agent, kind, &reader);
+    rst_agent_handle_message (agent, kind, &reader);
     msgpack_unpacked_destroy (&unpacked);
     rst_pack_clear (&pack);
   }
@@ -155,7 +155,7 @@
   hold ();
   answer (RST_RESULT_OK, 5000, 1);
   EXPECT_EQ (calls[0].wait, 2000);
-  message (RST_MSG_WATCH, { "i" }, { 500 });
+  message (RST_MSG_SET_POLL_WAIT, { "i" }, { 500 });
   answer (RST_RESULT_OK, 7000, 1);
   ASSERT_EQ (calls.size (), 1u);
   EXPECT_EQ (calls[0].wait, 500);
@@ -204,7 +204,7 @@
   answer (RST_RESULT_OK, 19001, 1);
   ASSERT_EQ (calls.size (), 1u);
   EXPECT_EQ (calls[0].deadline, 0);
-  rst_agent_alive (agent, 0);
+  rst_agent_handle_heartbeat (agent, 0);
   answer (RST_RESULT_OK, 19002, 1);
   EXPECT_GT (calls[0].deadline, 0);
 }
--- a/test/unit/cell_harness.h
+++ b/test/unit/cell_harness.h
@@ -46,9 +46,9 @@
   explicit Planner (int64_t epoch = 1)
   {
     rst_planner_ops ops = { on_send, on_reply, on_commit, this };
-    rst_planner_bounds bounds = { 14000, 6000, 120000, 250 };
+    rst_planner_timing timing = { 14000, 6000, 120000, 250 };
 
-    planner = rst_planner_create (&ops, &bounds, epoch);
+    planner = rst_planner_create (&ops, &timing, epoch);
     set_time (1000);
   }
   ~Planner () { rst_planner_destroy (planner); }
@@ -61,24 +61,24 @@
   std::vector<Commit> commits;
   rst_ms now = 0;
   int64_t clock = 5000;
-  bool confirms = true;
+  bool is_confirmed = true;
   // Segments of the journal that could not be read.
   int unreadable = 0;
   // Token of the last hold of each instance.
-  std::map<std::string, int64_t> fences;
+  std::map<std::string, int64_t> fencing_tokens;
 
   void
   set_time (rst_ms time)
   {
     now = time;
     rst_planner_set_time (planner, now, 1700000000000 + now);
-    if (confirms)
-      rst_planner_confirmed (planner, now);
+    if (is_confirmed)
+      rst_planner_set_confirmed (planner, now);
   }
 
   // Lets time pass in small steps, as the daemon's loop does.
   void
-  pass (rst_ms length)
+  advance_time (rst_ms length)
   {
     for (rst_ms end = now + length; now < end;)
       {
@@ -89,7 +89,8 @@
 
   // A queue "q" (advised when asked for) and a customer with a limit.
   void
-  configure (int64_t cpu_limit = 0, bool advised = false, int64_t version = 1)
+  configure (int64_t cpu_limit = 0, bool needs_approval = false,
+             int64_t version = 1)
   {
     rst_cellconfig *config = rst_cellconfig_create ();
     auto *queue = g_new0 (rst_queue, 1);
@@ -100,10 +101,10 @@
     queue->host = g_strdup ("h");
     queue->prefix = g_strdup ("/q/");
     queue->pool = g_strdup ("pool");
-    queue->attempts = 3;
+    queue->max_failures = 3;
     queue->slack = 3000;
     queue->target_ms = 500;
-    queue->advised = advised;
+    queue->needs_approval = needs_approval;
     queue->advice_ms = 10;
     queue->advice_valid_ms = 2000;
     g_ptr_array_add (config->queues, queue);
@@ -116,8 +117,8 @@
   }
 
   void
-  instance (const std::string &id, bool draining = false,
-            const char *zone = "a")
+  add_instance (const std::string &id, bool draining = false,
+                const char *zone = "a")
   {
     rst_instance_entry entry = {};
 
@@ -126,16 +127,16 @@
     g_strlcpy (entry.zone, zone, sizeof entry.zone);
     g_strlcpy (entry.pool, "pool", sizeof entry.pool);
     g_strlcpy (entry.labels, ",a,r1,", sizeof entry.labels);
-    entry.room = { 4000, 4000, 0 };
+    entry.capacity = { 4000, 4000, 0 };
     entry.draining = draining;
-    rst_planner_instance (planner, &entry);
+    rst_planner_update_instance (planner, &entry);
   }
 
   void
-  agent (uint64_t link, const char *zone = "a")
+  add_agent (uint64_t link, const char *zone = "a")
   {
-    rst_planner_agent (planner, link, ("n" + std::to_string (link)).c_str (),
-                       zone);
+    rst_planner_add_agent (planner, link,
+                           ("n" + std::to_string (link)).c_str (), zone);
   }
 
   // What an instance lists: runs without a number, ends with one.  When the
@@ -145,10 +146,10 @@
           const std::vector<rst_run> &runs, int64_t born = 1,
           rst_result result = RST_RESULT_OK, int64_t lease_left = 0)
   {
-    int64_t fence = fences[id];
+    int64_t fence = fencing_tokens[id];
 
     report_once (link, id, runs, born, result, lease_left);
-    if (fences[id] != fence)
+    if (fencing_tokens[id] != fence)
       report_once (link, id, runs, born, result, lease_left);
   }
 
@@ -167,7 +168,7 @@
     rst_pack_int (&pack, clock);
     rst_pack_int (&pack, born);
     rst_pack_int (&pack, lease_left);
-    rst_pack_int (&pack, fences[id]);
+    rst_pack_int (&pack, fencing_tokens[id]);
     rst_pack_array (&pack, runs.size ());
     for (const rst_run &run : runs)
       {
@@ -175,8 +176,8 @@
         rst_pack_int (&pack, run.number);
         rst_pack_text (&pack, run.task);
         rst_pack_int (&pack, run.attempt);
-        rst_pack_int (&pack, run.how);
-        rst_pack_text (&pack, run.saved);
+        rst_pack_int (&pack, run.end_reason);
+        rst_pack_text (&pack, run.checkpoint);
         rst_pack_int (&pack, run.percent);
         rst_pack_int (&pack, run.usage);
       }
@@ -258,15 +259,15 @@
     request.path = path.c_str ();
     request.key = key;
     request.desc = desc;
-    rst_planner_call (planner, &request);
+    rst_planner_receive_call (planner, &request);
   }
 
   // Answers the commit under way, as the store would.
   void
-  store ()
+  complete_commit ()
   {
-    rst_planner_committed (planner);
-    pass (10);
+    rst_planner_commit_done (planner);
+    advance_time (10);
   }
 
   // Passes time and stores until nothing is left to commit.
@@ -277,21 +278,22 @@
       {
         size_t before = commits.size ();
 
-        pass (60);
+        advance_time (60);
         if (commits.size () > before)
-          store ();
+          complete_commit ();
       }
   }
 
   // A serving planner with an agent and instances that list nothing.
   void
-  begin (int instances, bool advised = false, int64_t cpu_limit = 0)
+  start_serving (int instances, bool needs_approval = false,
+                 int64_t cpu_limit = 0)
   {
-    configure (cpu_limit, advised);
-    agent (1);
+    configure (cpu_limit, needs_approval);
+    add_agent (1);
     for (int i = 0; i < instances; i++)
-      instance ("i-" + std::to_string (i));
-    rst_planner_restored (planner);
+      add_instance ("i-" + std::to_string (i));
+    rst_planner_finish_restore (planner);
     for (int i = 0; i < instances; i++)
       report (1, "i-" + std::to_string (i), {});
     settle ();
@@ -311,7 +313,7 @@
 
   // Leaves only the segments that have not been removed since.
   void
-  drop_removed ()
+  delete_removed_segments ()
   {
     std::vector<Commit> kept;
 
@@ -327,7 +329,7 @@
   }
 
   std::vector<Sent>
-  of_kind (int kind) const
+  sent_of_kind (int kind) const
   {
     std::vector<Sent> found;
 
@@ -357,12 +359,13 @@
   }
 
   static rst_run
-  ended (int64_t number, const std::string &task, int attempt, rst_end how)
+  ended (int64_t number, const std::string &task, int attempt,
+         rst_end end_reason)
   {
     rst_run run = running (task, attempt);
 
     run.number = number;
-    run.how = how;
+    run.end_reason = end_reason;
     return run;
   }
 
@@ -374,7 +377,7 @@
     rst_reader reader;
 
     rst_reader_open (&reader, &unpacked, pack->buffer.data, pack->buffer.size);
-    rst_planner_message (planner, link, kind, &reader);
+    rst_planner_receive_message (planner, link, kind, &reader);
     msgpack_unpacked_destroy (&unpacked);
     rst_pack_clear (pack);
   }
@@ -382,11 +385,11 @@
   static void
   read_ids (rst_reader *reader, Sent *message)
   {
-    rst_reader rows = rst_reader_array (reader);
+    rst_reader rows = rst_reader_read_array (reader);
 
     for (uint32_t i = 0; i < rows.count; i++)
       {
-        char *id = rst_reader_text (&rows);
+        char *id = rst_reader_read_text (&rows);
 
         message->ids.push_back (id);
         g_free (id);
@@ -403,27 +406,27 @@
 
     rst_reader_open (&reader, &unpacked, data, length);
     message.link = link;
-    message.kind = (int)rst_reader_int (&reader);
+    message.kind = (int)rst_reader_read_int (&reader);
     if (message.kind == RST_MSG_ADVISE)
-      message.number = rst_reader_int (&reader);
-    char *id = rst_reader_text (&reader);
+      message.number = rst_reader_read_int (&reader);
+    char *id = rst_reader_read_text (&reader);
     message.id = id;
     g_free (id);
     if (message.kind == RST_MSG_START || message.kind == RST_MSG_STOP
         || message.kind == RST_MSG_PACE)
       {
-        char *task = rst_reader_text (&reader);
+        char *task = rst_reader_read_text (&reader);
 
         message.task = task;
         g_free (task);
       }
     if (message.kind == RST_MSG_HOLD)
       {
-        g_free (rst_reader_text (&reader));
-        self->fences[message.id] = rst_reader_int (&reader);
+        g_free (rst_reader_read_text (&reader));
+        self->fencing_tokens[message.id] = rst_reader_read_int (&reader);
       }
     else if (message.kind != RST_MSG_ADVISE)
-      message.number = rst_reader_int (&reader);
+      message.number = rst_reader_read_int (&reader);
     if (message.kind == RST_MSG_START || message.kind == RST_MSG_STOP)
       message.attempt = (int)message.number;
     if (message.kind == RST_MSG_ADVISE)
--- a/test/unit/follow_test.cc
+++ b/test/unit/follow_test.cc
@@ -34,7 +34,7 @@
     config.now = [] { return follow_now; };
     config.prefix = "p/";
     config.wait_ms = 1000;
-    config.apply = [] (void *userdata, const rst_item *item) {
+    config.apply = [] (void *userdata, const rst_store_item *item) {
       static_cast<Follow *> (userdata)->seen.push_back (
           (item->deleted ? "-" : "+") + std::string (item->key));
     };
@@ -55,16 +55,16 @@
   // Answers the call under way; keys that begin with '-' are deletions.
   void
   answer (rst_result result, int64_t revision,
-          const std::vector<std::string> &keys, bool more = false)
+          const std::vector<std::string> &keys, bool has_more = false)
   {
     rst_store_answer *answer = rst_store_answer_new ();
 
     answer->result = result;
     answer->revision = revision;
-    answer->more = more;
+    answer->has_more = has_more;
     for (const std::string &key : keys)
       {
-        rst_item *item = g_new0 (rst_item, 1);
+        rst_store_item *item = g_new0 (rst_store_item, 1);
 
         item->deleted = key[0] == '-';
         item->key = g_strdup (key.c_str () + (item->deleted ? 1 : 0));
--- a/test/unit/metrics_test.cc
+++ b/test/unit/metrics_test.cc
@@ -74,7 +74,7 @@
   Planner cell;
   rst_planner_stats stats;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, "00000000000000aa",
              Planner::job (1, 1000));
   cell.settle ();
--- a/test/unit/pace_test.cc
+++ b/test/unit/pace_test.cc
@@ -19,11 +19,11 @@
 
 TEST (Pace, StopsAtTheBoundHalvesNearItAndReturnsSlowly)
 {
-  EXPECT_EQ (rst_pace_next (100, 100), 0);
-  EXPECT_EQ (rst_pace_next (100, 80), 50);
-  EXPECT_EQ (rst_pace_next (50, 70), 50);
-  EXPECT_EQ (rst_pace_next (0, 59), 10);
-  EXPECT_EQ (rst_pace_next (95, 0), 100);
+  EXPECT_EQ (rst_pace_adjust (100, 100), 0);
+  EXPECT_EQ (rst_pace_adjust (100, 80), 50);
+  EXPECT_EQ (rst_pace_adjust (50, 70), 50);
+  EXPECT_EQ (rst_pace_adjust (0, 59), 10);
+  EXPECT_EQ (rst_pace_adjust (95, 0), 100);
 }
 
 // One task that serves with a bound of 50 ms and one that fills beside it.
@@ -34,14 +34,14 @@
   SetUp () override
   {
     rst_jobdesc *serves = Planner::job (1, 1000);
-    rst_jobdesc *fills = Planner::job (1, 1000);
+    rst_jobdesc *best_effort = Planner::job (1, 1000);
 
-    serves->steps[0].lasting = true;
+    serves->steps[0].long_running = true;
     serves->steps[0].target_ms = 50;
-    fills->steps[0].fills = true;
-    cell.begin (1);
+    best_effort->steps[0].best_effort = true;
+    cell.start_serving (1);
     cell.call (7, RST_OPERATION_SUBMIT, serving, serves);
-    cell.call (8, RST_OPERATION_SUBMIT, filling, fills);
+    cell.call (8, RST_OPERATION_SUBMIT, filling, best_effort);
     cell.settle ();
     cell.sent.clear ();
   }
@@ -51,19 +51,19 @@
   report (int64_t tail_ms)
   {
     rst_run serves = Planner::running (serving_task, 1);
-    rst_run fills = Planner::running (filling_task, 1);
+    rst_run best_effort = Planner::running (filling_task, 1);
 
     serves.usage = tail_ms;
     serves.percent = 100;
-    fills.usage = 900;
-    cell.pass (RST_PACE_EVERY_MS);
-    cell.report (1, "i-0", { serves, fills });
+    best_effort.usage = 900;
+    cell.advance_time (RST_PACE_INTERVAL_MS);
+    cell.report (1, "i-0", { serves, best_effort });
   }
 
   int
   paces () const
   {
-    return (int)cell.of_kind (RST_MSG_PACE).size ();
+    return (int)cell.sent_of_kind (RST_MSG_PACE).size ();
   }
 
   Planner cell;
@@ -72,8 +72,8 @@
 TEST_F (PacedCell, LooksMoreOftenWhereBothKindsRun)
 {
   report (10);
-  ASSERT_EQ (cell.of_kind (RST_MSG_WATCH).size (), 1u);
-  EXPECT_EQ (cell.of_kind (RST_MSG_WATCH)[0].number, 500);
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_SET_POLL_WAIT).size (), 1u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_SET_POLL_WAIT)[0].number, 500);
   EXPECT_EQ (paces (), 0);
 }
 
@@ -81,7 +81,7 @@
 {
   report (60);
   ASSERT_EQ (paces (), 1);
-  EXPECT_EQ (cell.of_kind (RST_MSG_PACE)[0].task, filling_task);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_PACE)[0].task, filling_task);
   // The order may have been lost: it is repeated.
   report (60);
   EXPECT_EQ (paces (), 2);
@@ -91,7 +91,7 @@
 {
   for (int i = 0; i < 12; i++)
     report (60);
-  EXPECT_TRUE (cell.of_kind (RST_MSG_STOP).empty ());
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_STOP).empty ());
 }
 
 TEST_F (PacedCell, LetsItWorkAgainStepByStepAndThenSaysNothing)
--- a/test/unit/seeker_test.cc
+++ b/test/unit/planner_client_test.cc
@@ -5,12 +5,12 @@
 
 extern "C"
 {
-#include "cell/seeker.h"
+#include "cell/planner_client.h"
 }
 
-static rst_ms seeker_now;
+static rst_ms client_now;
 
-class Seeker : public ::testing::Test
+class PlannerClient : public ::testing::Test
 {
 protected:
   void
@@ -20,65 +20,66 @@
   }
 
   void
-  create (rst_ms reserve_ms)
+  create (rst_ms standby_delay_ms)
   {
-    rst_seeker_config config = {};
+    rst_planner_client_config config = {};
 
-    rst_seeker_destroy (seeker);
-    config.reserve_ms = reserve_ms;
+    rst_planner_client_destroy (client);
+    config.standby_delay_ms = standby_delay_ms;
 
-    seeker_now = 1000;
+    client_now = 1000;
     backend.userdata = this;
     backend.store_get = [] (void *userdata, const char *key,
                             rst_store_done done, void *data) {
-      auto *self = static_cast<Seeker *> (userdata);
+      auto *self = static_cast<PlannerClient *> (userdata);
 
-      EXPECT_STREQ (key, RST_SEEKER_KEY);
+      EXPECT_STREQ (key, RST_PLANNER_RECORD_KEY);
       self->reads++;
       self->done = done;
       self->data = data;
     };
     config.backend = &backend;
-    config.now = [] { return seeker_now; };
+    config.now = [] { return client_now; };
     config.connect = [] (void *userdata, const char *address) {
-      auto *self = static_cast<Seeker *> (userdata);
+      auto *self = static_cast<PlannerClient *> (userdata);
 
       self->connects.push_back (address);
       return (uint64_t)self->connects.size ();
     };
     config.close = [] (void *, uint64_t) {};
     config.send = [] (void *, uint64_t, const void *, size_t) {};
-    config.message = [] (void *, int, rst_reader *) {};
-    config.linked = [] (void *userdata, bool serving) {
-      static_cast<Seeker *> (userdata)->serving = serving;
+    config.on_message = [] (void *, int, rst_reader *) {};
+    config.on_connected = [] (void *userdata, bool serving) {
+      static_cast<PlannerClient *> (userdata)->serving = serving;
     };
-    config.lost = [] (void *) {};
-    config.alive = [] (void *, rst_ms) {};
-    config.take = [] (void *userdata, int64_t revision, const rst_seat *) {
-      static_cast<Seeker *> (userdata)->taken.push_back (revision);
+    config.on_disconnected = [] (void *) {};
+    config.on_heartbeat = [] (void *, rst_ms) {};
+    config.take_over = [] (void *userdata, int64_t revision,
+                           const rst_planner_record *) {
+      static_cast<PlannerClient *> (userdata)->taken.push_back (revision);
     };
     config.userdata = this;
     config.role = RST_ROLE_AGENT;
     config.name = "n";
     config.zone = "z";
-    seeker = rst_seeker_create (&config);
+    client = rst_planner_client_create (&config);
   }
 
   void
   TearDown () override
   {
-    rst_seeker_destroy (seeker);
+    rst_planner_client_destroy (client);
   }
 
   // Lets time pass and answers each reading of the key.
   void
   pass (rst_ms length, int64_t revision, int64_t epoch, const char *address)
   {
-    for (rst_ms end = seeker_now + length; seeker_now < end; seeker_now += 10)
+    for (rst_ms end = client_now + length; client_now < end; client_now += 10)
       {
         int before = reads;
 
-        rst_seeker_run (seeker);
+        rst_planner_client_run (client);
         if (reads > before)
           answer (revision, epoch, address);
       }
@@ -88,14 +89,14 @@
   answer (int64_t revision, int64_t epoch, const char *address)
   {
     rst_store_answer *answer = rst_store_answer_new ();
-    rst_seat seat = {};
+    rst_planner_record record = {};
     rst_pack pack;
-    rst_item *item = g_new0 (rst_item, 1);
+    rst_store_item *item = g_new0 (rst_store_item, 1);
 
-    seat.epoch = epoch;
-    g_strlcpy (seat.address, address, sizeof seat.address);
-    rst_seat_pack (&pack, &seat);
-    item->key = g_strdup (RST_SEEKER_KEY);
+    record.epoch = epoch;
+    g_strlcpy (record.address, address, sizeof record.address);
+    rst_planner_record_pack (&pack, &record);
+    item->key = g_strdup (RST_PLANNER_RECORD_KEY);
     item->value = (guint8 *)g_memdup2 (pack.buffer.data, pack.buffer.size);
     item->length = pack.buffer.size;
     item->revision = revision;
@@ -119,7 +120,8 @@
       rst_pack_int (&pack, number);
     if (text != nullptr)
       rst_pack_text (&pack, text);
-    rst_seeker_frame (seeker, pack.buffer.data, pack.buffer.size);
+    rst_planner_client_handle_frame (client, pack.buffer.data,
+                                     pack.buffer.size);
     rst_pack_clear (&pack);
   }
 
@@ -127,12 +129,12 @@
   link_up (int64_t epoch)
   {
     pass (20, 5, epoch, "a:1");
-    rst_seeker_opened (seeker);
+    rst_planner_client_link_opened (client);
     frame (RST_MSG_WELCOME, { epoch, 1 });
   }
 
   rst_backend backend = {};
-  rst_seeker *seeker = nullptr;
+  rst_planner_client *client = nullptr;
   rst_store_done done = nullptr;
   void *data = nullptr;
   int reads = 0;
@@ -141,36 +143,36 @@
   std::vector<int64_t> taken;
 };
 
-TEST_F (Seeker, ProposesToTakeAnAbsentKey)
+TEST_F (PlannerClient, ProposesToTakeAnAbsentKey)
 {
   pass (20, 0, 0, "");
   ASSERT_FALSE (taken.empty ());
   EXPECT_EQ (taken[0], 0);
 }
 
-TEST_F (Seeker, LinksToThePlannerThatTheKeyNames)
+TEST_F (PlannerClient, LinksToThePlannerThatTheKeyNames)
 {
   link_up (3);
   ASSERT_EQ (connects.size (), 1u);
   EXPECT_EQ (connects[0], "a:1");
   EXPECT_TRUE (serving);
-  EXPECT_TRUE (rst_seeker_send (seeker, "x", 1));
+  EXPECT_TRUE (rst_planner_client_send (client, "x", 1));
 }
 
-TEST_F (Seeker, DoesNotReplaceAPlannerWhoseKeyMoves)
+TEST_F (PlannerClient, DoesNotReplaceAPlannerWhoseKeyMoves)
 {
   for (int64_t revision = 5; revision < 45; revision++)
     {
       pass (160, revision, 3, "a:1");
-      rst_seeker_closed (seeker);
+      rst_planner_client_link_closed (client);
     }
   EXPECT_TRUE (taken.empty ());
 }
 
-TEST_F (Seeker, ReplacesAPlannerWhoseKeyStandsStill)
+TEST_F (PlannerClient, ReplacesAPlannerWhoseKeyStandsStill)
 {
   link_up (3);
-  rst_seeker_closed (seeker);
+  rst_planner_client_link_closed (client);
   pass (100, 5, 3, "a:1");
   EXPECT_TRUE (taken.empty ());
   pass (1500, 5, 3, "a:1");
@@ -178,13 +180,13 @@
   EXPECT_EQ (taken[0], 5);
 }
 
-TEST_F (Seeker, ReplacesAPlannerThatResignedAtOnce)
+TEST_F (PlannerClient, ReplacesAPlannerThatResignedAtOnce)
 {
   pass (20, 5, 3, "");
   ASSERT_EQ (taken.size (), 1u);
 }
 
-TEST_F (Seeker, LeavesTheRoleToOthersForAWhileOnASmallMachine)
+TEST_F (PlannerClient, LeavesTheRoleToOthersForAWhileOnASmallMachine)
 {
   create (400);
   pass (380, 5, 3, "");
@@ -193,35 +195,35 @@
   EXPECT_FALSE (taken.empty ());
 }
 
-TEST_F (Seeker, LooksAtTheStoreWhenThePlannerHasLostIt)
+TEST_F (PlannerClient, LooksAtTheStoreWhenThePlannerHasLostIt)
 {
   link_up (3);
   int before = reads;
 
   pass (300, 5, 3, "a:1");
   EXPECT_EQ (reads, before);
-  frame (RST_MSG_ALIVE, { 1000 });
+  frame (RST_MSG_HEARTBEAT, { 1000 });
   pass (1500, 5, 3, "a:1");
   EXPECT_GT (reads, before);
   EXPECT_FALSE (taken.empty ());
 }
 
-TEST_F (Seeker, FollowsWordOfALaterPlannerOnly)
+TEST_F (PlannerClient, FollowsWordOfALaterPlannerOnly)
 {
   link_up (3);
-  frame (RST_MSG_MOVED, { 2 }, "old:1");
+  frame (RST_MSG_REDIRECT, { 2 }, "old:1");
   EXPECT_EQ (connects.size (), 1u);
-  frame (RST_MSG_MOVED, { 4 }, "new:1");
+  frame (RST_MSG_REDIRECT, { 4 }, "new:1");
   ASSERT_EQ (connects.size (), 2u);
   EXPECT_EQ (connects[1], "new:1");
 }
 
-TEST_F (Seeker, DoesNotReconnectInABusyLoop)
+TEST_F (PlannerClient, DoesNotReconnectInABusyLoop)
 {
   for (int i = 0; i < 100; i++)
     {
       pass (10, 5, 3, "a:1");
-      rst_seeker_closed (seeker);
+      rst_planner_client_link_closed (client);
     }
   EXPECT_LT (connects.size (), 30u);
 }
--- a/test/unit/planner_test.cc
+++ b/test/unit/planner_test.cc
@@ -15,35 +15,35 @@
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
-  cell.pass (40);
+  cell.advance_time (40);
   EXPECT_EQ (cell.reply_to (7), nullptr);
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
-  cell.store ();
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
+  cell.complete_commit ();
   ASSERT_NE (cell.reply_to (7), nullptr);
   EXPECT_EQ (cell.reply_to (7)->reply.outcome, RST_OUTCOME_OK);
-  ASSERT_EQ (cell.of_kind (RST_MSG_START).size (), 1u);
-  EXPECT_EQ (cell.of_kind (RST_MSG_START)[0].task, task_a0);
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START)[0].task, task_a0);
 }
 
 TEST (Planner, LetsAnEndBeForgottenOnlyOnceItIsStored)
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
   cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
   cell.report (1, "i-0", { Planner::ended (1, task_a0, 1, RST_END_DONE) });
-  cell.pass (40);
-  EXPECT_TRUE (cell.of_kind (RST_MSG_ACK).empty ());
+  cell.advance_time (40);
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_ACK).empty ());
   cell.call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (cell.reply_to (8)->reply.state, RST_JOB_RUNNING);
-  cell.store ();
-  ASSERT_EQ (cell.of_kind (RST_MSG_ACK).size (), 1u);
-  EXPECT_EQ (cell.of_kind (RST_MSG_ACK)[0].number, 1);
+  cell.complete_commit ();
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_ACK).size (), 1u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_ACK)[0].number, 1);
   cell.call (9, RST_OPERATION_READ, job_a);
   EXPECT_EQ (cell.reply_to (9)->reply.state, RST_JOB_COMPLETED);
 }
@@ -52,7 +52,7 @@
 {
   Planner cell;
 
-  cell.begin (2);
+  cell.start_serving (2);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
   cell.report (1, "i-1", { Planner::ended (1, task_a0, 3, RST_END_FAILED) });
@@ -68,7 +68,7 @@
 {
   Planner cell;
 
-  cell.begin (2);
+  cell.start_serving (2);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
   for (int64_t born = 1; born < 5; born++)
@@ -83,22 +83,22 @@
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
   cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_UNKNOWN);
   cell.sent.clear ();
   cell.report (1, "i-0", {});
-  cell.pass (5000);
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
-  EXPECT_FALSE (cell.of_kind (RST_MSG_STOP).empty ());
+  cell.advance_time (5000);
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
+  EXPECT_FALSE (cell.sent_of_kind (RST_MSG_STOP).empty ());
   cell.answer (1, RST_MSG_STOPPED, "i-0", task_a0, 1, RST_RESULT_OK);
-  cell.pass (500);
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
+  cell.advance_time (500);
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
   cell.report (1, "i-0", {});
-  cell.pass (500);
-  ASSERT_EQ (cell.of_kind (RST_MSG_START).size (), 1u);
-  EXPECT_EQ (cell.of_kind (RST_MSG_START)[0].number, 2);
+  cell.advance_time (500);
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START)[0].number, 2);
 }
 
 TEST (Planner, RaisesTheTokenBeforeItGivesUpWhatAnEarlierLifeRan)
@@ -106,72 +106,72 @@
   Planner cell;
   int64_t fence;
 
-  cell.begin (2);
-  fence = cell.fences["i-0"];
+  cell.start_serving (2);
+  fence = cell.fencing_tokens["i-0"];
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
-  ASSERT_EQ (cell.of_kind (RST_MSG_START).size (), 1u);
-  std::string id = cell.of_kind (RST_MSG_START)[0].id;
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
+  std::string id = cell.sent_of_kind (RST_MSG_START)[0].id;
 
   cell.answer (1, RST_MSG_STARTED, id, task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
   /* The new life is seen under the token that late orders carry too. */
   cell.report_once (1, id, {}, 2);
-  cell.pass (200);
-  EXPECT_GT (cell.fences[id], fence);
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
+  cell.advance_time (200);
+  EXPECT_GT (cell.fencing_tokens[id], fence);
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
   /* A start to the earlier life was carried out in between. */
   cell.report_once (1, id, { Planner::running (task_a0, 1) }, 2);
   cell.settle ();
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
 }
 
 TEST (Planner, TakesNoReportUnderAnEarlierToken)
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
   cell.report (1, "i-0", { Planner::running (task_a0, 1) });
   cell.sent.clear ();
-  cell.fences["i-0"] -= 1;
+  cell.fencing_tokens["i-0"] -= 1;
   cell.report_once (1, "i-0", {});
   cell.settle ();
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
 }
 
 TEST (Planner, KeepsWithinAnInstancesRoomUntilAnEndIsListed)
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (3, 1500));
   cell.settle ();
-  EXPECT_EQ (cell.of_kind (RST_MSG_START).size (), 2u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
   cell.call (8, RST_OPERATION_CANCEL, job_a);
   cell.call (9, RST_OPERATION_SUBMIT, job_b, Planner::job (1, 1500));
   cell.sent.clear ();
   cell.settle ();
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
   cell.report (1, "i-0", { Planner::ended (1, task_a0, 1, RST_END_STOPPED) });
   cell.settle ();
-  ASSERT_EQ (cell.of_kind (RST_MSG_START).size (), 1u);
-  EXPECT_EQ (cell.of_kind (RST_MSG_START)[0].task, task_b0);
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START)[0].task, task_b0);
 }
 
 TEST (Planner, AnswersACancelWhenItIsStoredAndStopsWhatRuns)
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000));
   cell.settle ();
   cell.call (8, RST_OPERATION_CANCEL, job_a);
-  EXPECT_EQ (cell.of_kind (RST_MSG_STOP).size (), 2u);
-  cell.pass (40);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_STOP).size (), 2u);
+  cell.advance_time (40);
   EXPECT_EQ (cell.reply_to (8), nullptr);
-  cell.store ();
+  cell.complete_commit ();
   ASSERT_NE (cell.reply_to (8), nullptr);
   EXPECT_EQ (cell.reply_to (8)->reply.outcome, RST_OUTCOME_OK);
 }
@@ -180,155 +180,155 @@
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (3, 1500, true));
   cell.settle ();
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
-  cell.instance ("i-1");
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
+  cell.add_instance ("i-1");
   cell.report (1, "i-1", {});
   cell.settle ();
-  EXPECT_EQ (cell.of_kind (RST_MSG_START).size (), 3u);
-  cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_REFUSED);
-  EXPECT_EQ (cell.of_kind (RST_MSG_STOP).size (), 2u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 3u);
+  cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_REJECTED);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_STOP).size (), 2u);
 }
 
 TEST (Planner, KeepsACustomerBelowItsLimit)
 {
   Planner cell;
 
-  cell.begin (3, false, 2500);
+  cell.start_serving (3, false, 2500);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (5, 1000));
   cell.settle ();
-  EXPECT_EQ (cell.of_kind (RST_MSG_START).size (), 2u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
 }
 
 TEST (Planner, StartsNothingWhereItMayNot)
 {
   Planner cell;
 
-  cell.begin (2);
-  cell.instance ("i-0", true);
-  rst_planner_evacuate (cell.planner, "a", true);
+  cell.start_serving (2);
+  cell.add_instance ("i-0", true);
+  rst_planner_set_zone_evacuated (cell.planner, "a", true);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
-  rst_planner_evacuate (cell.planner, "a", false);
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
+  rst_planner_set_zone_evacuated (cell.planner, "a", false);
   cell.settle ();
-  ASSERT_EQ (cell.of_kind (RST_MSG_START).size (), 1u);
-  EXPECT_EQ (cell.of_kind (RST_MSG_START)[0].id, "i-1");
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START)[0].id, "i-1");
 }
 
 TEST (Planner, KeepsTheOrderOfSteps)
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000, false, 2));
   cell.settle ();
-  EXPECT_EQ (cell.of_kind (RST_MSG_START).size (), 2u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
   cell.sent.clear ();
   cell.report (1, "i-0",
                { Planner::running (task_a1, 1),
                  Planner::ended (1, task_a0, 1, RST_END_DONE) });
   cell.settle ();
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
   cell.report (1, "i-0", { Planner::ended (2, task_a1, 1, RST_END_DONE) });
-  cell.pass (10);
-  EXPECT_EQ (cell.of_kind (RST_MSG_START).size (), 2u);
+  cell.advance_time (10);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
 }
 
 TEST (Planner, WaitsForTheLeaseOfAnInstanceThatDoesNotAnswer)
 {
   Planner cell;
 
-  cell.begin (2);
+  cell.start_serving (2);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
-  std::string first = cell.of_kind (RST_MSG_START)[0].id;
+  std::string first = cell.sent_of_kind (RST_MSG_START)[0].id;
   cell.answer (1, RST_MSG_STARTED, first, task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
   cell.report (1, first, {}, 1, RST_RESULT_UNKNOWN, 5000);
-  cell.pass (5000);
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
-  cell.pass (1000);
-  ASSERT_EQ (cell.of_kind (RST_MSG_START).size (), 1u);
-  EXPECT_NE (cell.of_kind (RST_MSG_START)[0].id, first);
+  cell.advance_time (5000);
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
+  cell.advance_time (1000);
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
+  EXPECT_NE (cell.sent_of_kind (RST_MSG_START)[0].id, first);
 }
 
 TEST (Planner, RestartsWhatRanInAnInstancesEarlierLife)
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
   cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
   cell.report (1, "i-0", {}, 2);
   cell.settle ();
-  EXPECT_EQ (cell.of_kind (RST_MSG_START).size (), 1u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
 }
 
 TEST (Planner, StartsNothingOnAnInstanceBetweenTwoAgents)
 {
   Planner cell;
 
-  cell.begin (4);
-  cell.agent (2);
+  cell.start_serving (4);
+  cell.add_agent (2);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (16, 1000));
   cell.settle ();
-  for (const Sent &start : cell.of_kind (RST_MSG_START))
+  for (const Sent &start : cell.sent_of_kind (RST_MSG_START))
     EXPECT_EQ (start.link, 1u);
-  size_t before = cell.of_kind (RST_MSG_START).size ();
+  size_t before = cell.sent_of_kind (RST_MSG_START).size ();
   for (int i = 0; i < 4; i++)
     cell.report (2, "i-" + std::to_string (i), {});
   cell.settle ();
-  EXPECT_GT (cell.of_kind (RST_MSG_START).size (), before);
+  EXPECT_GT (cell.sent_of_kind (RST_MSG_START).size (), before);
 }
 
 TEST (Planner, StartsNothingOnInstancesBornSinceTheStoreWasLost)
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
   cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
-  cell.confirms = false;
-  cell.pass (500);
+  cell.is_confirmed = false;
+  cell.advance_time (500);
   cell.report (1, "i-0", {}, 2);
-  cell.pass (3000);
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
-  cell.confirms = true;
-  cell.pass (50);
-  EXPECT_EQ (cell.of_kind (RST_MSG_START).size (), 1u);
+  cell.advance_time (3000);
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
+  cell.is_confirmed = true;
+  cell.advance_time (50);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
 }
 
 TEST (Planner, AsksForAdviceAndStartsWhereItMay)
 {
   Planner cell;
 
-  cell.begin (4, true);
+  cell.start_serving (4, true);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000));
   cell.settle ();
-  ASSERT_EQ (cell.of_kind (RST_MSG_ADVISE).size (), 1u);
-  EXPECT_TRUE (cell.of_kind (RST_MSG_START).empty ());
-  cell.advice (1, cell.of_kind (RST_MSG_ADVISE)[0].number, { "i-2" });
-  cell.pass (10);
-  ASSERT_EQ (cell.of_kind (RST_MSG_START).size (), 2u);
-  EXPECT_EQ (cell.of_kind (RST_MSG_START)[0].id, "i-2");
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_ADVISE).size (), 1u);
+  EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
+  cell.advice (1, cell.sent_of_kind (RST_MSG_ADVISE)[0].number, { "i-2" });
+  cell.advance_time (10);
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START)[0].id, "i-2");
 }
 
 TEST (Planner, NamesManyInstancesInTheFirstCallOfAGang)
 {
   Planner cell;
 
-  cell.begin (40, true);
+  cell.start_serving (40, true);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000, true));
   cell.settle ();
-  ASSERT_EQ (cell.of_kind (RST_MSG_ADVISE).size (), 1u);
-  EXPECT_EQ (cell.of_kind (RST_MSG_ADVISE)[0].ids.size (), 30u);
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_ADVISE).size (), 1u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_ADVISE)[0].ids.size (), 30u);
 }
 
 TEST (Planner, AsksOnForAGangThatOneCallCannotPlace)
@@ -336,14 +336,14 @@
   Planner cell;
   std::vector<std::string> approved;
 
-  cell.begin (150, true);
+  cell.start_serving (150, true);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (20, 4000, true));
   cell.settle ();
   for (int round = 0; round < 6; round++)
     {
-      auto asks = cell.of_kind (RST_MSG_ADVISE);
+      auto asks = cell.sent_of_kind (RST_MSG_ADVISE);
 
-      if (!cell.of_kind (RST_MSG_START).empty ())
+      if (!cell.sent_of_kind (RST_MSG_START).empty ())
         break;
       ASSERT_EQ (asks.size (), 1u);
       cell.sent.clear ();
@@ -353,36 +353,36 @@
         if (std::stoi (id.substr (2)) % 3 == 0)
           approved.push_back (id);
       cell.advice (1, asks[0].number, approved);
-      cell.pass (150);
+      cell.advance_time (150);
     }
-  EXPECT_EQ (cell.of_kind (RST_MSG_START).size (), 20u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 20u);
 }
 
 TEST (Planner, NamesFewInstancesForSingleTasks)
 {
   Planner cell;
 
-  cell.begin (40, true);
+  cell.start_serving (40, true);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000));
   cell.settle ();
-  ASSERT_EQ (cell.of_kind (RST_MSG_ADVISE).size (), 1u);
-  EXPECT_LT (cell.of_kind (RST_MSG_ADVISE)[0].ids.size (), 10u);
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_ADVISE).size (), 1u);
+  EXPECT_LT (cell.sent_of_kind (RST_MSG_ADVISE)[0].ids.size (), 10u);
 }
 
 TEST (Planner, TellsWhichCallsItTakes)
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (1, RST_OPERATION_READ, job_a);
   cell.call (2, RST_OPERATION_READ, job_a, nullptr, "wrong");
   cell.call (3, RST_OPERATION_READ, job_a, nullptr, "k", "/none/");
   cell.call (4, RST_OPERATION_SUBMIT, "short", Planner::job (1, 1));
   cell.call (5, RST_OPERATION_READ, "");
   EXPECT_EQ (cell.reply_to (1)->reply.outcome, RST_OUTCOME_NO_JOB);
-  EXPECT_EQ (cell.reply_to (2)->reply.outcome, RST_OUTCOME_NO_KEY);
+  EXPECT_EQ (cell.reply_to (2)->reply.outcome, RST_OUTCOME_INVALID_KEY);
   EXPECT_EQ (cell.reply_to (3)->reply.outcome, RST_OUTCOME_NO_QUEUE);
-  EXPECT_EQ (cell.reply_to (4)->reply.outcome, RST_OUTCOME_BAD);
+  EXPECT_EQ (cell.reply_to (4)->reply.outcome, RST_OUTCOME_MALFORMED);
   EXPECT_EQ (cell.reply_to (5)->reply.outcome, RST_OUTCOME_COUNT);
   EXPECT_EQ (cell.reply_to (5)->reply.count, 0);
 }
@@ -391,7 +391,7 @@
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
   cell.call (8, RST_OPERATION_READ, "");
@@ -405,23 +405,23 @@
 {
   Planner cell;
 
-  cell.begin (8, true);
+  cell.start_serving (8, true);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000));
-  cell.pass (5);
-  ASSERT_EQ (cell.of_kind (RST_MSG_ADVISE).size (), 1u);
-  cell.advice (1, cell.of_kind (RST_MSG_ADVISE)[0].number, {});
-  cell.pass (5000);
-  EXPECT_EQ (cell.of_kind (RST_MSG_ADVISE).size (), 1u);
+  cell.advance_time (5);
+  ASSERT_EQ (cell.sent_of_kind (RST_MSG_ADVISE).size (), 1u);
+  cell.advice (1, cell.sent_of_kind (RST_MSG_ADVISE)[0].number, {});
+  cell.advance_time (5000);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_ADVISE).size (), 1u);
 }
 
 TEST (Planner, IgnoresAnOlderConfiguration)
 {
   Planner cell;
 
-  cell.begin (1);
+  cell.start_serving (1);
   cell.configure (0, false, 5);
   cell.configure (100, false, 4);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
-  EXPECT_EQ (cell.of_kind (RST_MSG_START).size (), 1u);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
 }
--- a/test/unit/replay_test.cc
+++ b/test/unit/replay_test.cc
@@ -10,8 +10,8 @@
   SetUp () override
   {
     ASSERT_EQ (replay::read_load (RST_LOAD_FILE, &load), "");
-    ranked = replay::run (load, { "", RST_ORDER_RANKED, RST_FIT_TIGHTEST });
-    fifo = replay::run (load, { "", RST_ORDER_FIFO, RST_FIT_FIRST });
+    ranked = replay::run (load, { "", RST_STEP_ORDER_RANKED, RST_FIT_BEST });
+    fifo = replay::run (load, { "", RST_STEP_ORDER_FIFO, RST_FIT_FIRST });
   }
 
   static double
