--- a/include/rosemarystile.h
+++ b/include/rosemarystile.h
@@ -489,11 +489,11 @@
  * rst_tenure_record_promise() - Records a promise received.
  * @tenure: The tenure.
  * @member: Incarnation of its giver.
- * @asked_at: Time before the promise was asked for.
+ * @requested_at: Time before the promise was asked for.
  * @duration_ms: How long it holds.
  */
 void rst_tenure_record_promise (struct rst_tenure *tenure, const char *member,
-                                rst_ms asked_at, rst_ms duration_ms);
+                                rst_ms requested_at, rst_ms duration_ms);
 
 /**
  * rst_tenure_record_member_stop() - Records that a member has stopped for
@@ -578,10 +578,10 @@
  * rst_promises_set_refused() - Gives a member no more promises.
  * @promises: The register.
  * @member: The member.
- * @refuse: true before its tenure is ended; false when that did not happen.
+ * @refused: true before its tenure is ended; false when that did not happen.
  */
 void rst_promises_set_refused (struct rst_promises *promises,
-                               const char *member, bool refuse);
+                               const char *member, bool refused);
 
 /* ---- Upper limits ----------------------------------------------------- */
 
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -29,7 +29,7 @@
 static void
 free_pending (gpointer data)
 {
-  struct pending *pending = data;
+  struct pending_request *pending = data;
 
   rst_message_clear (&pending->message);
   g_free (pending);
@@ -38,14 +38,14 @@
 struct rst_entry *
 rst_entry_create (const struct rst_entry_config *config,
                   const struct rst_link_ops *links, void *links_data,
-                  rst_entry_reply_callback answer)
+                  rst_entry_reply_callback reply_callback)
 {
   struct rst_entry *entry = g_new0 (struct rst_entry, 1);
 
   entry->config = *config;
   entry->links = links;
   entry->links_data = links_data;
-  entry->answer = answer;
+  entry->reply_callback = reply_callback;
   entry->random
       = g_rand_new_with_seed_array ((const guint32 *)&config->seed, 2);
   entry->settings = rst_settings_create ();
@@ -53,7 +53,7 @@
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   entry->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
                                           free_pending);
-  entry->seeds = g_ptr_array_new_with_free_func (g_free);
+  entry->seed_addresses = g_ptr_array_new_with_free_func (g_free);
   rst_retry_budget_init (&entry->retry_budget, RETRY_PER_REQUEST_PERMILLE,
                          RETRY_BALANCE_MAX);
   return entry;
@@ -62,7 +62,7 @@
 void
 rst_entry_add_seed_address (struct rst_entry *entry, const char *address)
 {
-  g_ptr_array_add (entry->seeds, g_strdup (address));
+  g_ptr_array_add (entry->seed_addresses, g_strdup (address));
 }
 
 void
@@ -94,7 +94,7 @@
   reply.length = strlen (text);
   reply.retry_after_s = status == 503 || status == 429 ? 1 : 0;
   rst_entry_count_outcome (entry, outcome);
-  entry->answer (handle, &reply);
+  entry->reply_callback (handle, &reply);
   free (text);
 }
 
@@ -105,7 +105,8 @@
 }
 
 void
-rst_entry_remove_pending (struct rst_entry *entry, struct pending *pending)
+rst_entry_remove_pending (struct rst_entry *entry,
+                          struct pending_request *pending)
 {
   struct scheduler_peer *peer = rst_entry_find_peer (entry, pending->link);
 
@@ -115,8 +116,9 @@
 }
 
 void
-rst_entry_fail_pending (struct rst_entry *entry, struct pending *pending,
-                        unsigned status, uint64_t outcome, const char *reason,
+rst_entry_fail_pending (struct rst_entry *entry,
+                        struct pending_request *pending, unsigned status,
+                        uint64_t outcome, const char *reason,
                         const char *detail)
 {
   /* An earlier attempt may have run. */
@@ -150,19 +152,19 @@
 }
 
 static void
-handle_broken_link (struct rst_entry *entry, struct pending *pending)
+handle_broken_link (struct rst_entry *entry, struct pending_request *pending)
 {
-  bool query = pending->message.type == RST_QUERY;
-  bool read_only = !query
-                   && pending->message.job_call.operation != RST_JOB_SUBMIT
-                   && pending->message.job_call.operation != RST_JOB_CANCEL;
+  bool is_query = pending->message.type == RST_QUERY;
+  bool is_read_only = !is_query
+                      && pending->message.job_call.operation != RST_JOB_SUBMIT
+                      && pending->message.job_call.operation != RST_JOB_CANCEL;
 
-  if (query)
+  if (is_query)
     pending->may_have_run = true;
-  if (query && pending->message.query.idempotent
+  if (is_query && pending->message.query.idempotent
       && rst_entry_retry_pending (entry, pending))
     return;
-  if (read_only)
+  if (is_read_only)
     rst_entry_fail_pending (entry, pending, 503, RST_NOT_RUN, "link-broke",
                             "the link to the scheduler broke");
   else
@@ -178,7 +180,7 @@
   g_hash_table_remove (entry->peers, &link);
   for (GList *item = all; item != NULL; item = item->next)
     {
-      struct pending *pending = item->data;
+      struct pending_request *pending = item->data;
 
       if (pending->link == link)
         handle_broken_link (entry, pending);
@@ -237,7 +239,7 @@
   all = g_hash_table_get_values (entry->pending);
   for (GList *item = all; item != NULL; item = item->next)
     {
-      struct pending *pending = item->data;
+      struct pending_request *pending = item->data;
 
       if (now >= pending->expires_at)
         rst_entry_fail_pending (entry, pending, 504, RST_UNKNOWN, "no-answer",
@@ -256,8 +258,8 @@
   entry->connect_next_at
       = now + CONNECT_INTERVAL_MS / 2
         + g_rand_int_range (entry->random, 0, CONNECT_INTERVAL_MS);
-  for (guint i = 0; i < entry->seeds->len; i++)
-    connect_to_address (entry, g_ptr_array_index (entry->seeds, i));
+  for (guint i = 0; i < entry->seed_addresses->len; i++)
+    connect_to_address (entry, g_ptr_array_index (entry->seed_addresses, i));
   rst_settings_records (entry->settings, connect_to_members, entry);
 }
 
@@ -378,7 +380,7 @@
   g_list_free (all);
   g_hash_table_destroy (entry->pending);
   g_hash_table_destroy (entry->peers);
-  g_ptr_array_free (entry->seeds, TRUE);
+  g_ptr_array_free (entry->seed_addresses, TRUE);
   rst_settings_destroy (entry->settings);
   g_rand_free (entry->random);
   g_free (entry);
--- a/src/coordination/entry.h
+++ b/src/coordination/entry.h
@@ -106,14 +106,14 @@
  * @config: How it is set up, copied.
  * @links: How schedulers are reached; must outlive the entry.
  * @links_data: Passed to its functions.
- * @answer: Receives the answers.
+ * @reply_callback: Receives the answers.
  *
  * Return: The entry, to be freed with rst_entry_destroy().
  */
 struct rst_entry *rst_entry_create (const struct rst_entry_config *config,
                                     const struct rst_link_ops *links,
                                     void *links_data,
-                                    rst_entry_reply_callback answer);
+                                    rst_entry_reply_callback reply_callback);
 
 /** rst_entry_destroy() - Frees an entry, or NULL; answers what waits. */
 void rst_entry_destroy (struct rst_entry *entry);
--- a/src/coordination/entry_message.c
+++ b/src/coordination/entry_message.c
@@ -47,7 +47,8 @@
 handle_answer (struct rst_entry *entry, uint64_t link,
                const struct rst_message *message)
 {
-  struct pending *pending = g_hash_table_lookup (entry->pending, &message->id);
+  struct pending_request *pending
+      = g_hash_table_lookup (entry->pending, &message->id);
   const struct rst_answer *answer = &message->answer;
   struct rst_entry_reply reply = { 0 };
 
@@ -70,7 +71,7 @@
                      ? answer->body.length / 2
                      : answer->body.length;
   rst_entry_count_outcome (entry, RST_ANSWERED);
-  entry->answer (pending->handle, &reply);
+  entry->reply_callback (pending->handle, &reply);
   rst_entry_remove_pending (entry, pending);
 }
 
@@ -78,7 +79,8 @@
 handle_job_reply (struct rst_entry *entry, uint64_t link,
                   const struct rst_message *message)
 {
-  struct pending *pending = g_hash_table_lookup (entry->pending, &message->id);
+  struct pending_request *pending
+      = g_hash_table_lookup (entry->pending, &message->id);
   struct rst_entry_reply reply = { 0 };
 
   if (pending == NULL || pending->link != link
@@ -91,7 +93,7 @@
   rst_entry_count_outcome (entry, reply.status < 300   ? RST_ANSWERED
                                   : reply.status < 504 ? RST_NOT_RUN
                                                        : RST_UNKNOWN);
-  entry->answer (pending->handle, &reply);
+  entry->reply_callback (pending->handle, &reply);
   rst_entry_remove_pending (entry, pending);
 }
 
--- a/src/coordination/entry_private.h
+++ b/src/coordination/entry_private.h
@@ -24,7 +24,7 @@
   rst_ms last_message_at;
 };
 
-struct pending
+struct pending_request
 {
   uint64_t id;
   void *handle;
@@ -41,12 +41,12 @@
   struct rst_entry_config config;
   const struct rst_link_ops *links;
   void *links_data;
-  rst_entry_reply_callback answer;
+  rst_entry_reply_callback reply_callback;
   GRand *random;
   struct rst_settings *settings;
   GHashTable *peers;
   GHashTable *pending;
-  GPtrArray *seeds;
+  GPtrArray *seed_addresses;
   struct rst_retry_budget retry_budget;
   struct rst_entry_counters counters;
   uint64_t next_id;
@@ -65,14 +65,17 @@
 struct scheduler_peer *rst_entry_find_peer (struct rst_entry *entry,
                                             uint64_t link);
 void rst_entry_remove_pending (struct rst_entry *entry,
-                               struct pending *pending);
-void rst_entry_fail_pending (struct rst_entry *entry, struct pending *pending,
-                             unsigned status, uint64_t outcome,
-                             const char *reason, const char *detail);
+                               struct pending_request *pending);
+void rst_entry_fail_pending (struct rst_entry *entry,
+                             struct pending_request *pending, unsigned status,
+                             uint64_t outcome, const char *reason,
+                             const char *detail);
 /* entry_send.c */
-void rst_entry_route_query (struct rst_entry *entry, struct pending *pending);
-void rst_entry_route_job (struct rst_entry *entry, struct pending *pending);
+void rst_entry_route_query (struct rst_entry *entry,
+                            struct pending_request *pending);
+void rst_entry_route_job (struct rst_entry *entry,
+                          struct pending_request *pending);
 bool rst_entry_retry_pending (struct rst_entry *entry,
-                              struct pending *pending);
+                              struct pending_request *pending);
 
 #endif
--- a/src/coordination/entry_request.c
+++ b/src/coordination/entry_request.c
@@ -70,10 +70,10 @@
   return NULL;
 }
 
-static struct pending *
+static struct pending_request *
 add_pending (struct rst_entry *entry, void *handle, rst_ms deadline_ms)
 {
-  struct pending *pending = g_new0 (struct pending, 1);
+  struct pending_request *pending = g_new0 (struct pending_request, 1);
 
   pending->id = ++entry->next_id;
   pending->handle = handle;
@@ -89,7 +89,7 @@
               const struct rst_team *team)
 {
   struct rst_query query = { 0 };
-  struct pending *pending;
+  struct pending_request *pending;
   rst_ms deadline_ms;
   const char *problem = parse_query_headers (request, &query, &deadline_ms);
   rst_ms bound = rst_settings_cell (entry->settings)->max_deadline_ms;
@@ -143,7 +143,7 @@
                  const struct rst_team *team)
 {
   struct rst_job_call *call;
-  struct pending *pending;
+  struct pending_request *pending;
   char *id = make_job_id (entry, request);
   bool is_list = request->operation == RST_JOB_LIST;
 
--- a/src/coordination/entry_send.c
+++ b/src/coordination/entry_send.c
@@ -15,19 +15,19 @@
 
 static bool
 is_candidate (const struct rst_entry *entry, const struct scheduler_peer *peer,
-              const struct pending *pending)
+              const struct pending_request *pending)
 {
   bool is_alive
       = rst_entry_now (entry) - peer->last_message_at <= LINK_ALIVE_MS;
 
-  bool query = pending->message.type == RST_QUERY;
+  bool is_query = pending->message.type == RST_QUERY;
 
   if (!peer->is_scheduler || !peer->open || !peer->has_load
       || !peer->load.ready || peer->link == pending->link
-      || (query && peer->load.slots_total == 0)
+      || (is_query && peer->load.slots_total == 0)
       || rst_settings_zone_out (entry->settings, peer->zone))
     return false;
-  return is_alive || (query && pending->message.query.idempotent);
+  return is_alive || (is_query && pending->message.query.idempotent);
 }
 
 static int64_t
@@ -42,18 +42,19 @@
 is_better (const struct rst_entry *entry, const struct scheduler_peer *a,
            const struct scheduler_peer *b)
 {
-  int64_t room_a = get_free_slots (a);
-  int64_t room_b = get_free_slots (b);
-  bool own_a = strcmp (a->zone, entry->config.zone) == 0 && room_a > 0;
-  bool own_b = strcmp (b->zone, entry->config.zone) == 0 && room_b > 0;
-
-  if (own_a != own_b)
-    return own_a;
-  return room_a > room_b;
+  int64_t free_a = get_free_slots (a);
+  int64_t free_b = get_free_slots (b);
+  bool local_a = strcmp (a->zone, entry->config.zone) == 0 && free_a > 0;
+  bool local_b = strcmp (b->zone, entry->config.zone) == 0 && free_b > 0;
+
+  if (local_a != local_b)
+    return local_a;
+  return free_a > free_b;
 }
 
 static struct scheduler_peer *
-choose_scheduler (struct rst_entry *entry, const struct pending *pending)
+choose_scheduler (struct rst_entry *entry,
+                  const struct pending_request *pending)
 {
   struct scheduler_peer *best = NULL;
   GHashTableIter iterator;
@@ -110,21 +111,23 @@
 }
 
 static void
-log_route (const struct rst_entry *entry, const struct pending *pending,
+log_route (const struct rst_entry *entry,
+           const struct pending_request *pending,
            const struct scheduler_peer *peer, const char *reason)
 {
   const struct rst_message *message = &pending->message;
-  bool query = message->type == RST_QUERY;
+  bool is_query = message->type == RST_QUERY;
 
   (void)entry;
   rst_info (LOG_PREFIX, "Request routed.", "request",
-            query ? message->query.request_id : message->job_call.job, "team",
-            query ? message->query.team : message->job_call.team, "zone",
-            peer->zone, "scheduler", peer->incarnation, "reason", reason);
+            is_query ? message->query.request_id : message->job_call.job,
+            "team", is_query ? message->query.team : message->job_call.team,
+            "zone", peer->zone, "scheduler", peer->incarnation, "reason",
+            reason);
 }
 
 static bool
-send_to (struct rst_entry *entry, struct pending *pending,
+send_to (struct rst_entry *entry, struct pending_request *pending,
          struct scheduler_peer *peer, const char *reason)
 {
   struct rst_message message = pending->message;
@@ -143,7 +146,8 @@
 }
 
 void
-rst_entry_route_query (struct rst_entry *entry, struct pending *pending)
+rst_entry_route_query (struct rst_entry *entry,
+                       struct pending_request *pending)
 {
   struct scheduler_peer *peer;
   bool keyed = pending->message.query.keyed;
@@ -160,7 +164,7 @@
 }
 
 void
-rst_entry_route_job (struct rst_entry *entry, struct pending *pending)
+rst_entry_route_job (struct rst_entry *entry, struct pending_request *pending)
 {
   const struct rst_job_call *call = &pending->message.job_call;
   struct scheduler_peer *peer
@@ -175,7 +179,8 @@
 
 /* Tries a request again that did not run, or that may run twice. */
 bool
-rst_entry_retry_pending (struct rst_entry *entry, struct pending *pending)
+rst_entry_retry_pending (struct rst_entry *entry,
+                         struct pending_request *pending)
 {
   if (pending->message.type != RST_QUERY || pending->message.query.keyed
       || pending->attempts >= ATTEMPTS_MAX || entry->stopping
--- a/src/coordination/limit.c
+++ b/src/coordination/limit.c
@@ -89,8 +89,8 @@
 {
   struct rst_limit_part *part = rst_limit_find_part (limit, holder);
   uint32_t granted = rst_limit_sum_granted (limit);
-  uint32_t left = upper_limit > granted ? upper_limit - granted : 0;
-  uint32_t grant = MIN (left, more);
+  uint32_t remaining = upper_limit > granted ? upper_limit - granted : 0;
+  uint32_t grant = MIN (remaining, more);
 
   if (part == NULL)
     {
--- a/src/coordination/ownership.c
+++ b/src/coordination/ownership.c
@@ -68,21 +68,21 @@
 }
 
 static struct rst_ownership *
-find_owned (const struct rst_zone *zone, const char *instance)
+find_ownership (const struct rst_zone *zone, const char *instance)
 {
-  int at = find_lower_bound (zone, instance);
+  int index = find_lower_bound (zone, instance);
 
-  if (at < zone->owned_count
-      && strcmp (zone->owned[at].instance, instance) == 0)
-    return &zone->owned[at];
+  if (index < zone->owned_count
+      && strcmp (zone->owned[index].instance, instance) == 0)
+    return &zone->owned[index];
   return NULL;
 }
 
 static struct rst_ownership *
-add_owned (struct rst_zone *zone, const char *instance)
+add_ownership (struct rst_zone *zone, const char *instance)
 {
-  int at = find_lower_bound (zone, instance);
-  struct rst_ownership *owned;
+  int index = find_lower_bound (zone, instance);
+  struct rst_ownership *ownership;
 
   if (zone->owned_count == zone->owned_capacity)
     {
@@ -95,16 +95,17 @@
       zone->owned = grown;
       zone->owned_capacity = capacity;
     }
-  owned = &zone->owned[at];
-  memmove (owned + 1, owned, (size_t)(zone->owned_count - at) * sizeof *owned);
+  ownership = &zone->owned[index];
+  memmove (ownership + 1, ownership,
+           (size_t)(zone->owned_count - index) * sizeof *ownership);
   zone->owned_count++;
-  memset (owned, 0, sizeof *owned);
-  g_strlcpy (owned->instance, instance, RST_NAME_SIZE);
-  owned->settled = true;
+  memset (ownership, 0, sizeof *ownership);
+  g_strlcpy (ownership->instance, instance, RST_NAME_SIZE);
+  ownership->settled = true;
   /* An instance that was forgotten and is listed again has seen epochs, each
      of them less than the revision that it was given in. */
-  owned->epoch = zone->revision;
-  return owned;
+  ownership->epoch = zone->revision;
+  return ownership;
 }
 
 const struct rst_member *
@@ -119,16 +120,16 @@
 const struct rst_ownership *
 rst_zone_find_ownership (const struct rst_zone *zone, const char *instance)
 {
-  return find_owned (zone, instance);
+  return find_ownership (zone, instance);
 }
 
 static void
-set_owner (struct rst_ownership *owned, const char *owner)
+set_owner (struct rst_ownership *ownership, const char *owner)
 {
-  g_strlcpy (owned->owner, owner, RST_NAME_SIZE);
+  g_strlcpy (ownership->owner, owner, RST_NAME_SIZE);
   if (owner[0] != '\0')
-    owned->epoch++;
-  owned->settled = false;
+    ownership->epoch++;
+  ownership->settled = false;
 }
 
 /* The oldest name makes room. */
@@ -149,7 +150,7 @@
 rst_zone_remove_member (struct rst_zone *zone, const char *incarnation)
 {
   const struct rst_member *member = rst_zone_find_member (zone, incarnation);
-  int at;
+  int index;
 
   if (member == NULL)
     return RST_ERROR_NOT_FOUND;
@@ -157,9 +158,9 @@
     if (strcmp (zone->owned[i].owner, incarnation) == 0)
       set_owner (&zone->owned[i], "");
   add_departed (zone, incarnation);
-  at = (int)(member - zone->members);
-  memmove (&zone->members[at], &zone->members[at + 1],
-           (size_t)(zone->member_count - at - 1) * sizeof *member);
+  index = (int)(member - zone->members);
+  memmove (&zone->members[index], &zone->members[index + 1],
+           (size_t)(zone->member_count - index - 1) * sizeof *member);
   zone->member_count--;
   return RST_OK;
 }
@@ -167,18 +168,18 @@
 int
 rst_zone_add_member (struct rst_zone *zone, const struct rst_member *member)
 {
-  int at = 0;
+  int index = 0;
 
   if (rst_zone_find_member (zone, member->incarnation) != NULL)
     return RST_OK;
   if (zone->member_count == RST_MEMBERS_MAX)
     return RST_ERROR_FULL;
-  while (at < zone->member_count
-         && strcmp (zone->members[at].incarnation, member->incarnation) < 0)
-    at++;
-  memmove (&zone->members[at + 1], &zone->members[at],
-           (size_t)(zone->member_count - at) * sizeof *member);
-  zone->members[at] = *member;
+  while (index < zone->member_count
+         && strcmp (zone->members[index].incarnation, member->incarnation) < 0)
+    index++;
+  memmove (&zone->members[index + 1], &zone->members[index],
+           (size_t)(zone->member_count - index) * sizeof *member);
+  zone->members[index] = *member;
   zone->member_count++;
   return RST_OK;
 }
@@ -249,30 +250,30 @@
                           const char *const *instances, int count)
 {
   int claimed = 0;
-  int held;
+  int own_count;
 
   for (int i = 0; i < count; i++)
-    if (find_owned (zone, instances[i]) == NULL
-        && add_owned (zone, instances[i]) == NULL)
+    if (find_ownership (zone, instances[i]) == NULL
+        && add_ownership (zone, instances[i]) == NULL)
       return -1;
-  held = count_owned (zone, incarnation);
+  own_count = count_owned (zone, incarnation);
   for (int i = 0; i < count; i++)
     {
-      struct rst_ownership *owned = find_owned (zone, instances[i]);
-      const struct rst_member *member;
+      struct rst_ownership *ownership = find_ownership (zone, instances[i]);
+      const struct rst_member *preferred;
 
-      if (owned->owner[0] != '\0')
+      if (ownership->owner[0] != '\0')
         continue;
-      member = rst_zone_get_preferred_owner (zone, instances[i]);
-      if (member == NULL)
+      preferred = rst_zone_get_preferred_owner (zone, instances[i]);
+      if (preferred == NULL)
         continue;
-      if (strcmp (member->incarnation, incarnation) != 0
-          && (held >= get_fair_share (zone)
-              || count_owned (zone, member->incarnation)
+      if (strcmp (preferred->incarnation, incarnation) != 0
+          && (own_count >= get_fair_share (zone)
+              || count_owned (zone, preferred->incarnation)
                      < get_fair_share (zone)))
         continue;
-      set_owner (owned, incarnation);
-      held++;
+      set_owner (ownership, incarnation);
+      own_count++;
       claimed++;
     }
   return claimed;
@@ -283,23 +284,24 @@
                          int max_moves)
 {
   int released = 0;
-  int held = count_owned (zone, incarnation);
-  int bound = get_fair_share (zone);
+  int own_count = count_owned (zone, incarnation);
+  int fair_share = get_fair_share (zone);
 
   for (int i = 0; i < zone->owned_count && released < max_moves; i++)
     {
-      struct rst_ownership *owned = &zone->owned[i];
-      const struct rst_member *member;
+      struct rst_ownership *ownership = &zone->owned[i];
+      const struct rst_member *preferred;
 
-      if (held <= bound || strcmp (owned->owner, incarnation) != 0)
+      if (own_count <= fair_share
+          || strcmp (ownership->owner, incarnation) != 0)
         continue;
-      member = rst_zone_get_preferred_owner (zone, owned->instance);
-      if (member == NULL
-          || (strcmp (member->incarnation, incarnation) == 0
-              && held <= bound + 1))
+      preferred = rst_zone_get_preferred_owner (zone, ownership->instance);
+      if (preferred == NULL
+          || (strcmp (preferred->incarnation, incarnation) == 0
+              && own_count <= fair_share + 1))
         continue;
-      set_owner (owned, "");
-      held--;
+      set_owner (ownership, "");
+      own_count--;
       released++;
     }
   return released;
@@ -309,11 +311,11 @@
 rst_zone_hand_over (struct rst_zone *zone, const char *instance,
                     const char *owner)
 {
-  struct rst_ownership *owned = find_owned (zone, instance);
+  struct rst_ownership *ownership = find_ownership (zone, instance);
 
-  if (owned == NULL)
+  if (ownership == NULL)
     return RST_ERROR_NOT_FOUND;
-  set_owner (owned, owner);
+  set_owner (ownership, owner);
   return RST_OK;
 }
 
@@ -321,27 +323,27 @@
 rst_zone_mark_settled (struct rst_zone *zone, const char *instance,
                        const char *owner)
 {
-  struct rst_ownership *owned = find_owned (zone, instance);
+  struct rst_ownership *ownership = find_ownership (zone, instance);
 
-  if (owned == NULL)
+  if (ownership == NULL)
     return RST_ERROR_NOT_FOUND;
-  if (strcmp (owned->owner, owner) != 0)
+  if (strcmp (ownership->owner, owner) != 0)
     return RST_ERROR_NOT_HELD;
-  owned->settled = true;
+  ownership->settled = true;
   return RST_OK;
 }
 
 int
 rst_zone_remove_instance (struct rst_zone *zone, const char *instance)
 {
-  struct rst_ownership *owned = find_owned (zone, instance);
-  int at;
+  struct rst_ownership *ownership = find_ownership (zone, instance);
+  int index;
 
-  if (owned == NULL)
+  if (ownership == NULL)
     return RST_ERROR_NOT_FOUND;
-  at = (int)(owned - zone->owned);
-  memmove (owned, owned + 1,
-           (size_t)(zone->owned_count - at - 1) * sizeof *owned);
+  index = (int)(ownership - zone->owned);
+  memmove (ownership, ownership + 1,
+           (size_t)(zone->owned_count - index - 1) * sizeof *ownership);
   zone->owned_count--;
   return RST_OK;
 }
@@ -406,17 +408,18 @@
     {
       struct json_object *item = json_object_array_get_idx (list, i);
       const char *name = rst_json_text (item, "name");
-      struct rst_ownership *owned;
+      struct rst_ownership *ownership;
 
       if (name == NULL || strlen (name) >= RST_NAME_SIZE
-          || find_owned (zone, name) != NULL)
+          || find_ownership (zone, name) != NULL)
         return false;
-      owned = add_owned (zone, name);
-      if (owned == NULL
-          || !rst_json_copy_text (item, "owner", owned->owner, RST_NAME_SIZE))
+      ownership = add_ownership (zone, name);
+      if (ownership == NULL
+          || !rst_json_copy_text (item, "owner", ownership->owner,
+                                  RST_NAME_SIZE))
         return false;
-      owned->epoch = (uint64_t)rst_json_number (item, "epoch", 0);
-      owned->settled = rst_json_bool (item, "settled", false);
+      ownership->epoch = (uint64_t)rst_json_number (item, "epoch", 0);
+      ownership->settled = rst_json_bool (item, "settled", false);
     }
   return true;
 }
--- a/src/coordination/tenure.c
+++ b/src/coordination/tenure.c
@@ -7,21 +7,21 @@
 #include <glib.h>
 
 /* A member that stood in a declared view. */
-struct required
+struct required_member
 {
   char incarnation[RST_NAME_SIZE];
   uint64_t view;
-  CK_LIST_ENTRY (required) entry;
+  CK_LIST_ENTRY (required_member) entry;
 };
 
 /* What is known of a peer. */
-struct promise
+struct received_promise
 {
   char member[RST_NAME_SIZE];
-  rst_ms until;
+  rst_ms expires_at;
   rst_ms cannot_fence_before;
   bool stopped;
-  CK_LIST_ENTRY (promise) entry;
+  CK_LIST_ENTRY (received_promise) entry;
 };
 
 struct rst_tenure
@@ -31,8 +31,8 @@
   struct rst_lease lease;
   bool ended;
   bool declared;
-  CK_LIST_HEAD (required_list, required) required;
-  CK_LIST_HEAD (promise_list, promise) promises;
+  CK_LIST_HEAD (required_member_list, required_member) required;
+  CK_LIST_HEAD (received_promise_list, received_promise) promises;
 };
 
 struct rst_tenure *
@@ -54,8 +54,8 @@
 void
 rst_tenure_destroy (struct rst_tenure *tenure)
 {
-  struct required *required;
-  struct promise *promise;
+  struct required_member *required;
+  struct received_promise *promise;
 
   if (tenure == NULL)
     return;
@@ -97,7 +97,7 @@
   for (int i = 0; i < view->member_count; i++)
     {
       const char *incarnation = view->members[i].incarnation;
-      struct required *required;
+      struct required_member *required;
 
       if (strcmp (incarnation, tenure->incarnation) == 0)
         continue;
@@ -117,12 +117,12 @@
 void
 rst_tenure_confirm_view (struct rst_tenure *tenure, uint64_t revision)
 {
-  struct required *required = CK_LIST_FIRST (&tenure->required);
+  struct required_member *required = CK_LIST_FIRST (&tenure->required);
 
   tenure->declared = true;
   while (required != NULL)
     {
-      struct required *next = CK_LIST_NEXT (required, entry);
+      struct required_member *next = CK_LIST_NEXT (required, entry);
 
       if (required->view < revision)
         {
@@ -133,10 +133,10 @@
     }
 }
 
-static struct promise *
-find_promise (const struct rst_tenure *tenure, const char *member)
+static struct received_promise *
+find_received_promise (const struct rst_tenure *tenure, const char *member)
 {
-  struct promise *promise;
+  struct received_promise *promise;
 
   CK_LIST_FOREACH (promise, &tenure->promises, entry)
   if (strcmp (promise->member, member) == 0)
@@ -146,12 +146,12 @@
 
 void
 rst_tenure_record_promise (struct rst_tenure *tenure, const char *member,
-                           rst_ms asked_at, rst_ms duration_ms)
+                           rst_ms requested_at, rst_ms duration_ms)
 {
-  struct promise *promise = find_promise (tenure, member);
-  rst_ms until = asked_at + duration_ms - tenure->config.margin_ms;
+  struct received_promise *promise = find_received_promise (tenure, member);
+  rst_ms until = requested_at + duration_ms - tenure->config.margin_ms;
   rst_ms quiet_until
-      = asked_at + tenure->config.quiet_ms - tenure->config.margin_ms;
+      = requested_at + tenure->config.quiet_ms - tenure->config.margin_ms;
 
   if (duration_ms <= 0)
     return;
@@ -163,8 +163,8 @@
       g_strlcpy (promise->member, member, RST_NAME_SIZE);
       CK_LIST_INSERT_HEAD (&tenure->promises, promise, entry);
     }
-  if (until > promise->until)
-    promise->until = until;
+  if (until > promise->expires_at)
+    promise->expires_at = until;
   if (quiet_until > promise->cannot_fence_before)
     promise->cannot_fence_before = quiet_until;
 }
@@ -173,7 +173,7 @@
 rst_tenure_record_member_stop (struct rst_tenure *tenure, const char *member,
                                rst_ms now)
 {
-  struct promise *promise = find_promise (tenure, member);
+  struct received_promise *promise = find_received_promise (tenure, member);
 
   /* Had it sent the write that ends this tenure before it stopped, the write
      could still arrive; that is ruled out only within the quiet time. */
@@ -184,17 +184,18 @@
 static rst_ms
 get_promise_expiry (const struct rst_tenure *tenure, const char *incarnation)
 {
-  const struct promise *promise = find_promise (tenure, incarnation);
+  const struct received_promise *promise
+      = find_received_promise (tenure, incarnation);
 
   if (promise == NULL)
     return 0;
-  return promise->stopped ? INT64_MAX : promise->until;
+  return promise->stopped ? INT64_MAX : promise->expires_at;
 }
 
 const char *
 rst_tenure_find_missing_promise (const struct rst_tenure *tenure, rst_ms now)
 {
-  struct required *required;
+  struct required_member *required;
 
   CK_LIST_FOREACH (required, &tenure->required, entry)
   if (now >= get_promise_expiry (tenure, required->incarnation))
@@ -206,7 +207,7 @@
 rst_tenure_get_expiry (const struct rst_tenure *tenure, rst_ms now)
 {
   rst_ms until = INT64_MAX;
-  struct required *required;
+  struct required_member *required;
 
   if (tenure->ended || !tenure->declared)
     return 0;
@@ -224,20 +225,20 @@
 
 /* ---- Promises given --------------------------------------------------- */
 
-struct given
+struct issued_promise
 {
   char member[RST_NAME_SIZE];
-  rst_ms until;
-  rst_ms heard_at;
+  rst_ms expires_at;
+  rst_ms last_request_at;
   bool refused;
-  CK_LIST_ENTRY (given) entry;
+  CK_LIST_ENTRY (issued_promise) entry;
 };
 
 struct rst_promises
 {
   struct rst_tenure_config config;
   rst_ms created_at;
-  CK_LIST_HEAD (given_list, given) given;
+  CK_LIST_HEAD (issued_promise_list, issued_promise) issued;
 };
 
 struct rst_promises *
@@ -249,62 +250,63 @@
     return NULL;
   promises->config = *config;
   promises->created_at = now;
-  CK_LIST_INIT (&promises->given);
+  CK_LIST_INIT (&promises->issued);
   return promises;
 }
 
 void
 rst_promises_destroy (struct rst_promises *promises)
 {
-  struct given *given;
+  struct issued_promise *promise;
 
   if (promises == NULL)
     return;
-  while ((given = CK_LIST_FIRST (&promises->given)) != NULL)
+  while ((promise = CK_LIST_FIRST (&promises->issued)) != NULL)
     {
-      CK_LIST_REMOVE (given, entry);
-      free (given);
+      CK_LIST_REMOVE (promise, entry);
+      free (promise);
     }
   free (promises);
 }
 
-static struct given *
-find_given (const struct rst_promises *promises, const char *member)
+static struct issued_promise *
+find_issued_promise (const struct rst_promises *promises, const char *member)
 {
-  struct given *given;
+  struct issued_promise *promise;
 
-  CK_LIST_FOREACH (given, &promises->given, entry)
-  if (strcmp (given->member, member) == 0)
-    return given;
+  CK_LIST_FOREACH (promise, &promises->issued, entry)
+  if (strcmp (promise->member, member) == 0)
+    return promise;
   return NULL;
 }
 
-static struct given *
-find_or_add_given (struct rst_promises *promises, const char *member)
+static struct issued_promise *
+find_or_add_issued_promise (struct rst_promises *promises, const char *member)
 {
-  struct given *given = find_given (promises, member);
+  struct issued_promise *promise = find_issued_promise (promises, member);
 
-  if (given != NULL)
-    return given;
-  given = calloc (1, sizeof *given);
-  if (given == NULL)
+  if (promise != NULL)
+    return promise;
+  promise = calloc (1, sizeof *promise);
+  if (promise == NULL)
     return NULL;
-  g_strlcpy (given->member, member, RST_NAME_SIZE);
-  given->heard_at = promises->created_at;
-  CK_LIST_INSERT_HEAD (&promises->given, given, entry);
-  return given;
+  g_strlcpy (promise->member, member, RST_NAME_SIZE);
+  promise->last_request_at = promises->created_at;
+  CK_LIST_INSERT_HEAD (&promises->issued, promise, entry);
+  return promise;
 }
 
 rst_ms
 rst_promises_issue (struct rst_promises *promises, const char *member,
                     rst_ms now)
 {
-  struct given *given = find_or_add_given (promises, member);
+  struct issued_promise *promise
+      = find_or_add_issued_promise (promises, member);
 
-  if (given == NULL || given->refused)
+  if (promise == NULL || promise->refused)
     return 0;
-  given->heard_at = now;
-  given->until = now + promises->config.promise_ms;
+  promise->last_request_at = now;
+  promise->expires_at = now + promises->config.promise_ms;
   return promises->config.promise_ms;
 }
 
@@ -312,20 +314,23 @@
 rst_promises_allow_fencing (const struct rst_promises *promises,
                             const char *member, rst_ms now)
 {
-  const struct given *given = find_given (promises, member);
-  rst_ms heard_at = given != NULL ? given->heard_at : promises->created_at;
+  const struct issued_promise *promise
+      = find_issued_promise (promises, member);
+  rst_ms last_request_at
+      = promise != NULL ? promise->last_request_at : promises->created_at;
 
-  if (given != NULL && now < given->until)
+  if (promise != NULL && now < promise->expires_at)
     return false;
-  return now - heard_at >= promises->config.quiet_ms;
+  return now - last_request_at >= promises->config.quiet_ms;
 }
 
 void
 rst_promises_set_refused (struct rst_promises *promises, const char *member,
-                          bool refuse)
+                          bool refused)
 {
-  struct given *given = find_or_add_given (promises, member);
+  struct issued_promise *promise
+      = find_or_add_issued_promise (promises, member);
 
-  if (given != NULL)
-    given->refused = refuse;
+  if (promise != NULL)
+    promise->refused = refused;
 }
--- a/test/unit/coordination_test.cc
+++ b/test/unit/coordination_test.cc
@@ -14,7 +14,7 @@
 const struct rst_tenure_config config = { 4000, 200, 2000, 4000 };
 
 struct rst_zone *
-zone_of (const char *const *members, int count, uint64_t revision)
+create_zone (const char *const *members, int count, uint64_t revision)
 {
   struct rst_zone *zone = rst_zone_create ("z1");
 
@@ -30,7 +30,7 @@
   return zone;
 }
 
-TEST (Lease, CountsFromBeforeTheRenewalWasSent)
+TEST (Lease, CountsFromTheTimeBeforeTheRenewalWasSent)
 {
   struct rst_lease lease;
 
@@ -45,7 +45,7 @@
   EXPECT_FALSE (rst_lease_is_held (&lease, 600));
 }
 
-TEST (Lease, RefusesAMarginOutsideTheTimeToLive)
+TEST (Lease, RejectsAMarginNotBelowTheTimeToLive)
 {
   struct rst_lease lease;
 
@@ -62,7 +62,7 @@
     const char *members[] = { "a", "b", "c" };
 
     tenure = rst_tenure_create (&config, "a");
-    zone = zone_of (members, 3, 10);
+    zone = create_zone (members, 3, 10);
     rst_tenure_declare_view (tenure, zone);
     rst_tenure_confirm_view (tenure, 10);
   }
@@ -78,14 +78,14 @@
   struct rst_zone *zone;
 };
 
-TEST_F (Tenure, IsHeldByTheLeaseAlone)
+TEST_F (Tenure, IsHeldWithTheLeaseOnly)
 {
   rst_tenure_record_renewal (tenure, 1000);
   EXPECT_TRUE (rst_tenure_is_held (tenure, 4799));
   EXPECT_FALSE (rst_tenure_is_held (tenure, 4800));
 }
 
-TEST_F (Tenure, NeedsThePromiseOfEveryDeclaredMember)
+TEST_F (Tenure, NeedsAPromiseFromEveryDeclaredMember)
 {
   rst_tenure_record_promise (tenure, "b", 1000, 2000);
   EXPECT_FALSE (rst_tenure_is_held (tenure, 1500));
@@ -95,10 +95,10 @@
   EXPECT_FALSE (rst_tenure_is_held (tenure, 2800));
 }
 
-TEST_F (Tenure, NeedsPromisesOfAViewFromBeforeItsWriteIsSent)
+TEST_F (Tenure, NeedsPromisesForANewViewBeforeItIsWritten)
 {
   const char *more[] = { "a", "b", "c", "d" };
-  struct rst_zone *wider = zone_of (more, 4, 20);
+  struct rst_zone *wider = create_zone (more, 4, 20);
 
   rst_tenure_record_promise (tenure, "b", 1000, 2000);
   rst_tenure_record_promise (tenure, "c", 1000, 2000);
@@ -110,10 +110,10 @@
   rst_zone_destroy (wider);
 }
 
-TEST_F (Tenure, KeepsAnOlderViewUntilTheNewOneIsStored)
+TEST_F (Tenure, RequiresTheOldViewUntilTheNewOneIsConfirmed)
 {
   const char *fewer[] = { "a", "b" };
-  struct rst_zone *narrower = zone_of (fewer, 2, 20);
+  struct rst_zone *narrower = create_zone (fewer, 2, 20);
 
   rst_tenure_declare_view (tenure, narrower);
   rst_tenure_record_promise (tenure, "b", 1000, 2000);
@@ -123,7 +123,7 @@
   rst_zone_destroy (narrower);
 }
 
-TEST_F (Tenure, CountsAStoppedMemberOnlyInsideTheQuietTime)
+TEST_F (Tenure, CountsAMemberStopOnlyWithinTheQuietTime)
 {
   rst_tenure_record_promise (tenure, "b", 1000, 2000);
   rst_tenure_record_promise (tenure, "c", 1000, 2000);
@@ -137,14 +137,14 @@
   EXPECT_TRUE (rst_tenure_is_held (tenure, 9000));
 }
 
-TEST_F (Tenure, EndsForGood)
+TEST_F (Tenure, IsNotHeldOnceEnded)
 {
   rst_tenure_record_renewal (tenure, 1000);
   rst_tenure_end (tenure);
   EXPECT_FALSE (rst_tenure_is_held (tenure, 1001));
 }
 
-TEST (Promises, RunOutBeforeATenureMayBeEnded)
+TEST (Promises, ExpireBeforeFencingIsAllowed)
 {
   struct rst_promises *promises = rst_promises_create (&config, 0);
 
@@ -160,11 +160,11 @@
   rst_promises_destroy (promises);
 }
 
-TEST (Ownership, SurvivesItsJson)
+TEST (Ownership, RoundTripsThroughJson)
 {
   const char *members[] = { "a", "b" };
   const char *instances[] = { "w2", "w1", "w3" };
-  struct rst_zone *zone = zone_of (members, 2, 5);
+  struct rst_zone *zone = create_zone (members, 2, 5);
   struct rst_zone *read = nullptr;
   char *text;
 
@@ -185,11 +185,11 @@
   rst_zone_destroy (read);
 }
 
-TEST (Ownership, ClaimsOnlyWhatNobodyOwnsAndRaisesTheEpoch)
+TEST (Ownership, ClaimsOnlyUnownedInstancesAndRaisesTheEpoch)
 {
   const char *members[] = { "a" };
   const char *instances[] = { "w1", "w2" };
-  struct rst_zone *zone = zone_of (members, 1, 1);
+  struct rst_zone *zone = create_zone (members, 1, 1);
 
   EXPECT_EQ (rst_zone_claim_instances (zone, "a", instances, 2), 2);
   EXPECT_EQ (rst_zone_claim_instances (zone, "a", instances, 2), 0);
@@ -201,11 +201,11 @@
   rst_zone_destroy (zone);
 }
 
-TEST (Ownership, AForgottenInstanceComesBackWithAHigherEpoch)
+TEST (Ownership, GivesAReturningInstanceAHigherEpoch)
 {
   const char *members[] = { "a" };
   const char *instances[] = { "w1" };
-  struct rst_zone *zone = zone_of (members, 1, 3);
+  struct rst_zone *zone = create_zone (members, 1, 3);
   uint64_t epoch;
 
   ASSERT_EQ (rst_zone_claim_instances (zone, "a", instances, 1), 1);
@@ -217,13 +217,13 @@
   rst_zone_destroy (zone);
 }
 
-TEST (Ownership, SharesInstancesEvenlyWithFewMoves)
+TEST (Ownership, SharesInstancesEvenly)
 {
   const char *members[] = { "a", "b", "c" };
-  struct rst_zone *zone = zone_of (members, 3, 1);
+  struct rst_zone *zone = create_zone (members, 3, 1);
   char names[60][8];
   const char *instances[60];
-  int held[3] = { 0, 0, 0 };
+  int owned_count[3] = { 0, 0, 0 };
 
   for (int i = 0; i < 60; i++)
     {
@@ -236,15 +236,15 @@
   for (int i = 0; i < zone->owned_count; i++)
     for (int m = 0; m < 3; m++)
       if (strcmp (zone->owned[i].owner, members[m]) == 0)
-        held[m]++;
-  EXPECT_EQ (held[0] + held[1] + held[2], 60);
-  EXPECT_LE (held[0], 30);
-  EXPECT_LE (held[1], 30);
-  EXPECT_LE (held[2], 30);
+        owned_count[m]++;
+  EXPECT_EQ (owned_count[0] + owned_count[1] + owned_count[2], 60);
+  EXPECT_LE (owned_count[0], 30);
+  EXPECT_LE (owned_count[1], 30);
+  EXPECT_LE (owned_count[2], 30);
   rst_zone_destroy (zone);
 }
 
-TEST (Ownership, RendezvousMovesOnlyWhatTheLostOneHad)
+TEST (Ownership, RendezvousMovesOnlyKeysOfTheRemovedName)
 {
   const char *three[] = { "a", "b", "c" };
   const char *two[] = { "a", "b" };
@@ -272,7 +272,7 @@
   EXPECT_EQ (rst_limit_find_part (&limit, "b")->wanted, 6u);
 }
 
-TEST (Limit, ReturnsHalfOfWhatIsUnusedWhenOthersAsk)
+TEST (Limit, ReturnsHalfOfTheUnusedPartWhenOthersWantMore)
 {
   struct rst_limit limit;
 
@@ -284,7 +284,7 @@
   EXPECT_EQ (rst_limit_get_target_part (&limit, "a", 10, 2, 8), 10u);
 }
 
-TEST (Limit, ALoweredLimitIsSharedOut)
+TEST (Limit, ScalesPartsDownWhenTheLimitIsLowered)
 {
   struct rst_limit limit;
 
@@ -295,7 +295,7 @@
   EXPECT_EQ (rst_limit_get_target_part (&limit, "b", 10, 5, 0), 2u);
 }
 
-TEST (Limit, SurvivesItsJson)
+TEST (Limit, RoundTripsThroughJson)
 {
   struct rst_limit limit;
   struct rst_limit read;
@@ -313,7 +313,7 @@
   free (text);
 }
 
-TEST (Budget, BoundsRetriesToAPartOfTheRequests)
+TEST (Budget, BoundsRetriesToAFractionOfTheRequests)
 {
   struct rst_retry_budget budget;
   int retries = 0;
@@ -329,7 +329,7 @@
   EXPECT_GE (retries, 10);
 }
 
-TEST (Breaker, OpensProbesOnceAndCloses)
+TEST (Breaker, OpensAllowsOneProbeAndCloses)
 {
   struct rst_breaker breaker;
 
@@ -348,7 +348,7 @@
   EXPECT_TRUE (rst_breaker_allows_request (&breaker, 302));
 }
 
-TEST (MemberRecord, SurvivesItsJson)
+TEST (MemberRecord, RoundTripsThroughJson)
 {
   struct rst_member_record record = {};
   struct rst_member_record read;
