--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -6,18 +6,19 @@
 
 #define LOG_PREFIX "route"
 
-/** Time between two attempts to connect. */
+/** Mean interval between attempts to connect to schedulers. */
 #define CONNECT_INTERVAL_MS 300
 
-/** Time between two digests. */
+/** Interval between digests of the settings sent to schedulers. */
 #define DIGEST_INTERVAL_MS 1000
 
-/** Time between two searches for requests past their deadline. */
+/** Interval between checks for expired requests. */
 #define EXPIRE_INTERVAL_MS 25
 
-/** Thousandths of a retry earned by each request, and most saved up. */
+/** Thousandths of a retry that each request adds to the retry budget. */
 #define RETRY_PER_REQUEST_PERMILLE 200
 
+/** Maximum balance of the retry budget, in retries. */
 #define RETRY_BALANCE_MAX 100
 
 rst_ms
@@ -121,7 +122,8 @@
                         uint64_t outcome, const char *reason,
                         const char *detail)
 {
-  /* An earlier attempt may have run. */
+  /* An earlier attempt may have run, so that it can't be reported as not
+     run. */
   if (outcome == RST_NOT_RUN && pending->may_have_run)
     {
       outcome = RST_UNKNOWN;
--- a/src/coordination/entry.h
+++ b/src/coordination/entry.h
@@ -1,9 +1,10 @@
 /**
- * DOC: entry - the decisions of one entry process
+ * DOC: entry - one entry process without its input and output
  *
- * Checks keys, admits requests, chooses the scheduler for each and returns
- * its whole answer to the caller that asked.  Like the scheduler it is a
- * state machine without threads or sockets.
+ * An entry authenticates callers, admits their requests, selects a scheduler
+ * for each and passes the scheduler's answer back to the caller.  Like struct
+ * rst_scheduler it opens no sockets, starts no threads and reads no clock
+ * itself.  All functions must be called from one thread.
  */
 #ifndef RST_ENTRY_H
 #define RST_ENTRY_H
@@ -13,13 +14,14 @@
 struct rst_entry;
 
 /**
- * struct rst_entry_config - How an entry is set up.
+ * struct rst_entry_config - Configuration of an entry.
  * @name: Name of the process.
  * @zone: Its availability zone.
- * @address: Address of its callers' HTTP server.
- * @clock: Source of time.
- * @seed: Seed of its random numbers.
- * @max_pending: Bound on requests that wait for their answer.
+ * @address: Address of the HTTP server for callers, "IP:PORT".
+ * @clock: Source of the current time.
+ * @seed: Seed of random numbers.
+ * @max_pending: Maximum number of requests without an answer; more are
+ *   rejected.
  */
 struct rst_entry_config
 {
@@ -32,11 +34,11 @@
 };
 
 /**
- * struct rst_entry_reply - What a caller is told.
+ * struct rst_entry_reply - The reply to a caller's request.
  * @status: HTTP status.
- * @body: The body.
- * @length: Its length in bytes.
- * @retry_after_s: Seconds until a retry makes sense, or 0.
+ * @body: The body, valid during the callback only.
+ * @length: Length of @body in bytes.
+ * @retry_after_s: Seconds after which the caller may retry, or 0.
  */
 struct rst_entry_reply
 {
@@ -47,10 +49,11 @@
 };
 
 /**
- * typedef rst_entry_reply_callback - Receives the answer to one request.
- * @handle: The request, as it was passed in.
+ * typedef rst_entry_reply_callback - Receives the reply to one request.
+ * @handle: The handle passed to rst_entry_handle_request().
+ * @reply: The reply, valid during the call.
  *
- * Called exactly once for each request, on the entry's thread.
+ * Called exactly once for each request, on the thread that uses the entry.
  */
 typedef void (*rst_entry_reply_callback) (void *handle,
                                           const struct rst_entry_reply *reply);
@@ -64,9 +67,9 @@
  * @urgency: Value of X-Urgency, or NULL.
  * @operation: 0 for a query, or a value of enum rst_job_operation.
  * @job: Id of the job in the path, or NULL.
- * @state: State to list, or NULL.
+ * @state: State of the jobs to list, or NULL for all.
  * @body: The body.
- * @length: Its length in bytes.
+ * @length: Length of @body in bytes.
  */
 struct rst_entry_request
 {
@@ -83,13 +86,13 @@
 };
 
 /**
- * struct rst_entry_counters - What an entry has counted.
- * @requests: Requests taken.
+ * struct rst_entry_counters - Counters of an entry since its creation.
+ * @requests: Requests received.
  * @answered: Requests answered.
- * @not_run: Requests refused before they ran.
+ * @not_run: Requests rejected before they ran.
  * @unknown: Requests whose outcome is unknown.
  * @unauthorized: Requests without a valid key.
- * @retries: Further attempts.
+ * @retries: Attempts of requests after their first.
  */
 struct rst_entry_counters
 {
@@ -103,10 +106,10 @@
 
 /**
  * rst_entry_create() - Creates an entry.
- * @config: How it is set up, copied.
- * @links: How schedulers are reached; must outlive the entry.
- * @links_data: Passed to its functions.
- * @reply_callback: Receives the answers.
+ * @config: Configuration, copied.
+ * @links: Functions that reach schedulers; must outlive the entry.
+ * @links_data: User data passed to the functions of @links.
+ * @reply_callback: Receives the replies to all requests.
  *
  * Return: The entry, to be freed with rst_entry_destroy().
  */
@@ -115,54 +118,63 @@
                                     void *links_data,
                                     rst_entry_reply_callback reply_callback);
 
-/** rst_entry_destroy() - Frees an entry, or NULL; answers what waits. */
+/** rst_entry_destroy() - Replies to all pending requests with an unknown
+ * outcome and frees an entry; NULL is allowed. */
 void rst_entry_destroy (struct rst_entry *entry);
 
-/** rst_entry_add_seed_address() - Names an address where a scheduler may be.
- */
+/** rst_entry_add_seed_address() - Adds an address at which a scheduler may be
+ * found before the settings are known. */
 void rst_entry_add_seed_address (struct rst_entry *entry, const char *address);
 
-/** rst_entry_tick() - Does what is due; call it every few milliseconds. */
+/** rst_entry_tick() - Performs all actions that are due; call it every few
+ * milliseconds. */
 void rst_entry_tick (struct rst_entry *entry);
 
-/** rst_entry_handle_link_opened() - A link can carry messages. */
+/** rst_entry_handle_link_opened() - Handles that a link is open. */
 void rst_entry_handle_link_opened (struct rst_entry *entry, uint64_t link);
 
-/** rst_entry_handle_link_closed() - A link is gone, or could not be opened. */
+/** rst_entry_handle_link_closed() - Handles that a link was closed or could
+ * not be opened; its pending requests are retried or fail. */
 void rst_entry_handle_link_closed (struct rst_entry *entry, uint64_t link);
 
-/** rst_entry_handle_message() - A message arrived; it stays the caller's. */
+/** rst_entry_handle_message() - Handles a message received on a link; the
+ * caller keeps ownership of @message. */
 void rst_entry_handle_message (struct rst_entry *entry, uint64_t link,
                                const struct rst_message *message);
 
 /**
- * rst_entry_handle_request() - Takes a caller's request.
+ * rst_entry_handle_request() - Handles a caller's request.
  * @entry: The entry.
- * @handle: Passed to the answer function.
+ * @handle: Passed to the reply callback.
  * @request: The request, used during the call only.
+ *
+ * The reply callback may be called before this function returns.
  */
 void rst_entry_handle_request (struct rst_entry *entry, void *handle,
                                const struct rst_entry_request *request);
 
-/** rst_entry_begin_stop() - Takes no new requests. */
+/** rst_entry_begin_stop() - Rejects all requests from now on; pending ones
+ * complete. */
 void rst_entry_begin_stop (struct rst_entry *entry);
 
-/** rst_entry_count_pending() - Number of requests that wait for their answer.
- */
+/** rst_entry_count_pending() - Counts the requests that have no reply yet. */
 int64_t rst_entry_count_pending (const struct rst_entry *entry);
 
-/** rst_entry_is_ready() - Whether it can serve callers. */
+/** rst_entry_is_ready() - Checks whether it has settings, a link to a
+ * scheduler that is ready, and accepts requests. */
 bool rst_entry_is_ready (const struct rst_entry *entry);
 
-/** rst_entry_get_counters() - What it has counted. */
+/** rst_entry_get_counters() - Returns its counters, valid until it is
+ * destroyed. */
 const struct rst_entry_counters *
 rst_entry_get_counters (const struct rst_entry *entry);
 
-/** rst_entry_format_status() - Describes its state as JSON; free with free().
- */
+/** rst_entry_format_status() - Formats its state as JSON text, to be freed
+ * with free(). */
 char *rst_entry_format_status (struct rst_entry *entry);
 
-/** rst_entry_get_settings() - The settings that it has in force. */
+/** rst_entry_get_settings() - Returns the settings that it applies, valid
+ * until it is destroyed. */
 const struct rst_settings *
 rst_entry_get_settings (const struct rst_entry *entry);
 
--- a/src/coordination/entry_message.c
+++ b/src/coordination/entry_message.c
@@ -1,4 +1,4 @@
-/* What schedulers say. */
+/* Handles messages from schedulers. */
 #include "coordination/entry_private.h"
 
 #include <stdlib.h>
@@ -32,14 +32,16 @@
               branch->revision);
   if (error == RST_STATE_OK)
     {
-      /* The schedulers report what this entry has in force. */
+      /* A digest is sent at the next tick, since the status of schedulers
+         shows the settings that each entry applies. */
       entry->digest_next_at = 0;
-      rst_info ("settings", "Branch is in force.", "key", branch->key,
+      rst_info ("settings", "Settings branch applied.", "key", branch->key,
                 "revision", revision);
     }
   else if (error == RST_STATE_INVALID)
-    rst_warning ("settings", "Branch was refused.", "key", branch->key,
-                 "problem", g_strchomp (problems->str));
+    rst_warning ("settings",
+                 "Settings branch rejected; its old value is kept.", "key",
+                 branch->key, "problem", g_strchomp (problems->str));
   g_string_free (problems, TRUE);
 }
 
@@ -52,7 +54,8 @@
   const struct rst_answer *answer = &message->answer;
   struct rst_entry_reply reply = { 0 };
 
-  /* A late answer, or one to another request, reaches nobody. */
+  /* Late answers, and answers of a scheduler to which the request was not
+     sent last, are ignored. */
   if (pending == NULL || pending->link != link
       || pending->message.type != RST_QUERY)
     return;
--- a/src/coordination/entry_private.h
+++ b/src/coordination/entry_private.h
@@ -1,5 +1,5 @@
 /**
- * DOC: entry_private - requests of callers, shared by the files entry*.c
+ * DOC: entry_private - state shared by entry.c and entry_*.c
  */
 #ifndef RST_ENTRY_PRIVATE_H
 #define RST_ENTRY_PRIVATE_H
@@ -10,6 +10,20 @@
 #include "state/json.h"
 #include "util/log.h"
 
+/**
+ * struct scheduler_peer - A link to a scheduler.
+ * @link: Id of the link.
+ * @open: Whether messages can be sent.
+ * @is_scheduler: Whether the peer has greeted this entry as a scheduler.
+ * @has_load: Whether @load was received.
+ * @address: The peer's address for messages of other processes.
+ * @incarnation: The peer's incarnation.
+ * @zone: The peer's availability zone.
+ * @load: Last load report of the peer.
+ * @sent_since_load_report: Requests sent since @load was received, less those
+ *   completed.
+ * @last_message_at: Time of the last message from the peer.
+ */
 struct scheduler_peer
 {
   uint64_t link;
@@ -24,6 +38,17 @@
   rst_ms last_message_at;
 };
 
+/**
+ * struct pending_request - A caller's request that has no reply yet.
+ * @id: Id of the request in messages.
+ * @handle: The caller's handle.
+ * @link: Link on which it was sent last; 0 before it was sent.
+ * @attempts: Number of times that it was sent.
+ * @may_have_run: Whether an earlier attempt may have run.
+ * @expires_at: Time at which its outcome is reported as unknown.
+ * @deadline: Deadline passed to the scheduler.
+ * @message: The message sent to schedulers.
+ */
 struct pending_request
 {
   uint64_t id;
--- a/src/coordination/entry_request.c
+++ b/src/coordination/entry_request.c
@@ -1,4 +1,4 @@
-/* Taking requests of callers. */
+/* Authenticates and admits requests of callers. */
 #include "coordination/entry_private.h"
 
 #include <stdlib.h>
@@ -7,16 +7,17 @@
 
 #define LOG_PREFIX "route"
 
-/** Deadline of a request that names none. */
+/** Deadline of a query whose caller sets none. */
 #define DEFAULT_DEADLINE_MS 10000
 
-/** Time after the deadline at which the outcome is given up. */
+/** Time after the deadline at which a request fails with an unknown outcome.
+ */
 #define DEADLINE_GRACE_MS 1000
 
-/** Bound on a call about jobs. */
+/** Timeout of an operation on jobs. */
 #define JOB_CALL_TIMEOUT_MS 10000
 
-/** Word before the key in the Authorization header. */
+/** Scheme in the Authorization header, before the key. */
 #define BEARER_PREFIX "Bearer "
 
 static const struct rst_team *
@@ -39,7 +40,7 @@
                                 authorization + strlen (BEARER_PREFIX));
 }
 
-/* Reads the headers of a query.  Returns the problem, or NULL. */
+/* Parses the headers of a query.  Returns what is wrong with them, or NULL. */
 static const char *
 parse_query_headers (const struct rst_entry_request *request,
                      struct rst_query *out, rst_ms *deadline_ms)
@@ -116,7 +117,9 @@
   rst_entry_route_query (entry, pending);
 }
 
-/* The id of a submitted job, from its body or made here. */
+/* Returns the id of a job, to be freed with g_free().  A submitted job gets
+   the id in its body, the caller's request id or a random id, in this order.
+ */
 static char *
 make_job_id (struct rst_entry *entry, const struct rst_entry_request *request)
 {
--- a/src/coordination/entry_send.c
+++ b/src/coordination/entry_send.c
@@ -1,4 +1,4 @@
-/* Which scheduler a request goes to. */
+/* Selects the scheduler for a request and sends it there. */
 #include "coordination/entry_private.h"
 
 #include <stdlib.h>
@@ -7,10 +7,11 @@
 
 #define LOG_PREFIX "route"
 
-/** Most attempts of one request. */
+/** Maximum number of attempts of one request. */
 #define ATTEMPTS_MAX 3
 
-/** A link that was silent for longer is not proven alive. */
+/** Time without a message after which a link may be broken.  Only idempotent
+ * queries and requests with a home scheduler are then sent on it. */
 #define LINK_ALIVE_MS 1500
 
 static bool
@@ -37,7 +38,8 @@
          - peer->sent_since_load_report;
 }
 
-/* Whether @a is a better place than @b; room in the own zone comes first. */
+/* Checks whether @a is a better choice than @b.  Schedulers in the entry's own
+   zone with free slots come first, then those with more free slots. */
 static bool
 is_better (const struct rst_entry *entry, const struct scheduler_peer *a,
            const struct scheduler_peer *b)
@@ -81,8 +83,8 @@
     g_ptr_array_add (names, (gpointer)zone->members[i].incarnation);
 }
 
-/* The scheduler that keeps the record of a request or job: the same for
-   every entry that holds the same ownership records. */
+/* Finds the home scheduler of a request or job, which keeps its record.  All
+   entries that have the same ownership records find the same one. */
 static struct scheduler_peer *
 find_home_scheduler (struct rst_entry *entry, const char *team, const char *id)
 {
@@ -177,7 +179,8 @@
                             "the job's scheduler cannot be reached now");
 }
 
-/* Tries a request again that did not run, or that may run twice. */
+/* Sends a query to another scheduler, if its attempts, its deadline and the
+   retry budget allow it.  The query did not run, or is idempotent. */
 bool
 rst_entry_retry_pending (struct rst_entry *entry,
                          struct pending_request *pending)
--- a/src/coordination/error.c
+++ b/src/coordination/error.c
@@ -14,11 +14,11 @@
     case RST_ERROR_NOT_FOUND:
       return "not found";
     case RST_ERROR_FULL:
-      return "a bound was reached";
+      return "no free entry";
     case RST_ERROR_STALE:
       return "version is older than the one held";
     case RST_ERROR_NOT_HELD:
-      return "right is not held";
+      return "lease or ownership is not held";
     case RST_ERROR_LIMIT:
       return "upper limit reached";
     default:
--- a/src/coordination/limit.c
+++ b/src/coordination/limit.c
@@ -117,7 +117,8 @@
   return RST_OK;
 }
 
-/* Rounds down, so that all targets together stay within the limit. */
+/* Scales a part down to its share of the limit.  Rounds down, so that the sum
+   of all parts stays within the limit. */
 static uint32_t
 scale_part (uint32_t granted, uint32_t upper_limit, uint32_t sum)
 {
--- a/src/coordination/ownership.c
+++ b/src/coordination/ownership.c
@@ -48,7 +48,8 @@
   return copy;
 }
 
-/* Index of the first instance whose name is not less than @instance. */
+/* Returns the index of the first instance whose name is not less than
+   @instance. */
 static int
 find_lower_bound (const struct rst_zone *zone, const char *instance)
 {
@@ -102,8 +103,9 @@
   memset (ownership, 0, sizeof *ownership);
   g_strlcpy (ownership->instance, instance, RST_NAME_SIZE);
   ownership->settled = true;
-  /* An instance that was forgotten and is listed again has seen epochs, each
-     of them less than the revision that it was given in. */
+  /* An instance that was removed and is listed again has received epochs
+     before, none higher than the revision of the record that assigned it.
+     Epochs that start at the current revision are higher than those. */
   ownership->epoch = zone->revision;
   return ownership;
 }
@@ -132,7 +134,7 @@
   ownership->settled = false;
 }
 
-/* The oldest name makes room. */
+/* Appends a departed member; the oldest one is dropped if the list is full. */
 static void
 add_departed (struct rst_zone *zone, const char *incarnation)
 {
@@ -235,8 +237,8 @@
   return count;
 }
 
-/* Most instances that one member should own: hashing alone would leave some
-   members with much more than others. */
+/* Returns the number of instances that each member may own.  Rendezvous
+   hashing alone would give some members far more instances than others. */
 static int
 get_fair_share (const struct rst_zone *zone)
 {
--- a/src/coordination/retry.c
+++ b/src/coordination/retry.c
@@ -1,9 +1,9 @@
 #include "rosemarystile.h"
 
-/** Thousandths that pay for one retry. */
+/** Balance that one retry takes, in thousandths of a retry. */
 #define PERMILLE_PER_RETRY 1000
 
-/** Bound on how often the open time of a breaker is doubled. */
+/** Maximum number of times that the open time of a breaker is doubled. */
 #define BREAKER_DOUBLINGS_MAX 5
 
 void
--- a/src/coordination/scheduler.c
+++ b/src/coordination/scheduler.c
@@ -7,7 +7,7 @@
 
 #define LOG_PREFIX "scheduler"
 
-/* A message from this process to itself. */
+/* A message that the scheduler sends to itself, see SCHED_LINK_SELF. */
 struct local_message
 {
   struct rst_message message;
@@ -283,7 +283,8 @@
     }
 }
 
-/* Handles messages to itself; they may post more. */
+/* Handles the messages of the scheduler to itself, including those posted
+   meanwhile. */
 static void
 dispatch_local_messages (struct rst_scheduler *sched)
 {
--- a/src/coordination/scheduler.h
+++ b/src/coordination/scheduler.h
@@ -1,9 +1,11 @@
 /**
- * DOC: scheduler - the decisions of one scheduler process
+ * DOC: scheduler - one scheduler process without its input and output
  *
- * The scheduler is a state machine without threads, sockets or a clock of its
- * own.  Time, random numbers, messages and the outside systems come through
- * its configuration; all calls are made from one thread.
+ * The scheduler is a state machine that opens no sockets, starts no threads
+ * and reads no clock itself.  The configuration and the tables of functions
+ * passed to rst_scheduler_create() provide the time, the seed of random
+ * numbers, the links to peers, the store and the instances.  All functions
+ * must be called from one thread.
  */
 #ifndef RST_SCHEDULER_H
 #define RST_SCHEDULER_H
@@ -17,9 +19,9 @@
 struct rst_scheduler;
 
 /**
- * enum rst_policy - How work is placed.
- * @RST_POLICY_BATCH: Packed; tasks start as room appears.
- * @RST_POLICY_SERVICE: Spread and kept running.
+ * enum rst_policy - How the tasks of a job are placed.
+ * @RST_POLICY_BATCH: Packed; each task starts as soon as there is capacity.
+ * @RST_POLICY_SERVICE: Spread over instances; tasks that end are restarted.
  * @RST_POLICY_GANG: All tasks at once or none.
  */
 enum rst_policy
@@ -29,25 +31,28 @@
   RST_POLICY_GANG,
 };
 
-/** Attempts of a task numbered under one owner of its job; the quotient is the
+/** Number of attempts of a task that one owner of its job may make.  Attempts
+ * are numbered across owners: an attempt divided by this number gives the
  * owner's generation. */
 #define RST_ATTEMPTS_PER_GENERATION 100000
 
-/** rst_policy_name() - "batch", "service" or "gang". */
+/** rst_policy_name() - Returns "batch", "service" or "gang"; "batch" for an
+ * unknown value. */
 const char *rst_policy_name (uint64_t policy);
 
 /**
- * struct rst_scheduler_config - How a scheduler is set up.
- * @name: Name of the process, the same after a restart.
+ * struct rst_scheduler_config - Configuration of a scheduler.
+ * @name: Name of the process; unchanged by a restart.
  * @zone: Its availability zone.
- * @address: Address for frames; another process can only listen there once
- *   this one has stopped.
- * @status_address: Address of its status pages.
+ * @address: Address for messages of other processes.  Peers that find another
+ *   process there know that this one has stopped.
+ * @status_address: Address of the HTTP server with its status.
  * @tenure: Durations of its tenure.
- * @task_lease_ms: Lease under which tasks run.
- * @list_interval_ms: Time between two reads of the list of instances.
- * @clock: Source of time.
- * @seed: Seed of its random numbers; also makes its incarnations unique.
+ * @task_lease_ms: Time to live of the leases under which tasks run.
+ * @list_interval_ms: Interval at which the list of instances is fetched.
+ * @clock: Source of the current time.
+ * @seed: Seed of random numbers; must differ between processes and restarts,
+ *   since incarnations are made unique with it.
  */
 struct rst_scheduler_config
 {
@@ -63,12 +68,13 @@
 };
 
 /**
- * struct rst_link_ops - How a process reaches its peers.
- * @connect: Opens a link; its outcome is told later.  Returns 0 on failure.
- * @send: Sends a message on a link; false when it was not sent.
+ * struct rst_link_ops - Functions with which a process reaches its peers.
+ * @connect: Begins to open a link and returns its id, or 0 on failure.  The
+ *   caller reports later whether the link was opened or closed.
+ * @send: Sends a message on a link; returns false if it was not sent.
  * @close: Closes a link.
  *
- * Each takes the userdata given beside the table.
+ * Each function is passed the user data given together with the table.
  */
 struct rst_link_ops
 {
@@ -79,22 +85,22 @@
 };
 
 /**
- * struct rst_scheduler_counters - What a scheduler has counted.
- * @queries: Queries taken.
+ * struct rst_scheduler_counters - Counters of a scheduler since its creation.
+ * @queries: Queries accepted.
  * @answered: Queries answered.
- * @not_run: Queries refused before they ran.
+ * @not_run: Queries rejected before they ran.
  * @unknown: Queries whose outcome is unknown.
- * @retries: Further attempts of queries.
+ * @retries: Attempts of queries after their first.
  * @starts: Tasks started.
  * @start_failures: Tasks that a worker did not start.
- * @store_reads: Reads of the store, each watch as one.
- * @store_writes: Writes of the store.
+ * @store_reads: Reads of the store; each long poll of a watch counts as one.
+ * @store_writes: Writes to the store.
  * @messages_in: Messages received.
  * @messages_out: Messages sent.
- * @takeovers: Tenures of others ended.
- * @fenced: Own tenures ended by others.
- * @decisions: Choices of an instance.
- * @decision_ns: Time spent on them in nanoseconds.
+ * @takeovers: Tenures of other members that it has ended.
+ * @fenced: Own tenures that other members have ended.
+ * @decisions: Selections of an instance.
+ * @decision_ns: Time spent on selections, in nanoseconds.
  */
 struct rst_scheduler_counters
 {
@@ -117,11 +123,12 @@
 
 /**
  * rst_scheduler_create() - Creates a scheduler.
- * @config: How it is set up, copied.
- * @platform: The outside systems; must outlive the scheduler.
- * @platform_data: Passed to its functions.
- * @links: How peers are reached; must outlive the scheduler.
- * @links_data: Passed to its functions.
+ * @config: Configuration, copied.
+ * @platform: Functions of the store and the instances; must outlive the
+ *   scheduler.
+ * @platform_data: User data passed to the functions of @platform.
+ * @links: Functions that reach peers; must outlive the scheduler.
+ * @links_data: User data passed to the functions of @links.
  *
  * Return: The scheduler, to be freed with rst_scheduler_destroy().
  */
@@ -132,59 +139,64 @@
 
 /**
  * rst_scheduler_destroy() - Frees a scheduler.
- * @scheduler: The scheduler, or NULL; all its platform calls must have ended.
+ * @scheduler: The scheduler, or NULL.  Its platform calls must have completed.
  */
 void rst_scheduler_destroy (struct rst_scheduler *scheduler);
 
-/** rst_scheduler_add_seed_address() - Names an address where a peer may be. */
+/** rst_scheduler_add_seed_address() - Adds an address at which a peer may be
+ * found before the settings are known. */
 void rst_scheduler_add_seed_address (struct rst_scheduler *scheduler,
                                      const char *address);
 
-/**
- * rst_scheduler_tick() - Does what is due; call it every few milliseconds.
- */
+/** rst_scheduler_tick() - Performs all actions that are due; call it every few
+ * milliseconds. */
 void rst_scheduler_tick (struct rst_scheduler *scheduler);
 
-/** rst_scheduler_handle_link_opened() - A link can carry messages. */
+/** rst_scheduler_handle_link_opened() - Handles that a link is open, whether
+ * this process or the peer has connected. */
 void rst_scheduler_handle_link_opened (struct rst_scheduler *scheduler,
                                        uint64_t link);
 
-/** rst_scheduler_handle_link_closed() - A link is gone, or could not be
- * opened. */
+/** rst_scheduler_handle_link_closed() - Handles that a link was closed or
+ * could not be opened. */
 void rst_scheduler_handle_link_closed (struct rst_scheduler *scheduler,
                                        uint64_t link);
 
-/** rst_scheduler_handle_message() - A message arrived; it stays the caller's.
- */
+/** rst_scheduler_handle_message() - Handles a message received on a link; the
+ * caller keeps ownership of @message. */
 void rst_scheduler_handle_message (struct rst_scheduler *scheduler,
                                    uint64_t link,
                                    const struct rst_message *message);
 
-/** rst_scheduler_begin_stop() - Begins a planned stop. */
+/** rst_scheduler_begin_stop() - Begins a planned stop, in which instances are
+ * handed over and the scheduler leaves its zone. */
 void rst_scheduler_begin_stop (struct rst_scheduler *scheduler);
 
-/** rst_scheduler_is_stopped() - Whether a planned stop is complete. */
+/** rst_scheduler_is_stopped() - Checks whether a planned stop is complete. */
 bool rst_scheduler_is_stopped (const struct rst_scheduler *scheduler);
 
-/** rst_scheduler_is_ready() - Whether it takes work. */
+/** rst_scheduler_is_ready() - Checks whether it accepts queries and jobs. */
 bool rst_scheduler_is_ready (const struct rst_scheduler *scheduler);
 
-/** rst_scheduler_get_counters() - What it has counted. */
+/** rst_scheduler_get_counters() - Returns its counters, valid until it is
+ * destroyed. */
 const struct rst_scheduler_counters *
 rst_scheduler_get_counters (const struct rst_scheduler *scheduler);
 
 /**
- * rst_scheduler_format_status() - Describes its state as JSON.
+ * rst_scheduler_format_status() - Formats its state as JSON text.
  *
  * Return: The text, to be freed with free().
  */
 char *rst_scheduler_format_status (struct rst_scheduler *scheduler);
 
-/** rst_scheduler_get_incarnation() - Its present incarnation. */
+/** rst_scheduler_get_incarnation() - Returns its current incarnation, which
+ * changes when it loses its tenure. */
 const char *
 rst_scheduler_get_incarnation (const struct rst_scheduler *scheduler);
 
-/** rst_scheduler_get_settings() - The settings that it has in force. */
+/** rst_scheduler_get_settings() - Returns the settings that it applies, valid
+ * until it is destroyed. */
 const struct rst_settings *
 rst_scheduler_get_settings (const struct rst_scheduler *scheduler);
 
--- a/src/coordination/tenure.c
+++ b/src/coordination/tenure.c
@@ -6,7 +6,7 @@
 #include <ck_queue.h>
 #include <glib.h>
 
-/* A member that stood in a declared view. */
+/* A member of a declared view, whose promise is required. */
 struct required_member
 {
   char incarnation[RST_NAME_SIZE];
@@ -14,7 +14,8 @@
   CK_LIST_ENTRY (required_member) entry;
 };
 
-/* What is known of a peer. */
+/* The promises received from one member.  Before cannot_fence_before it cannot
+   have ended this tenure; stopped means that it can never end it. */
 struct received_promise
 {
   char member[RST_NAME_SIZE];
@@ -104,7 +105,8 @@
       required = calloc (1, sizeof *required);
       if (required == NULL)
         {
-          /* Without the entry the tenure would count too few members. */
+          /* Without the entry the tenure would be held without a promise of
+             this member. */
           tenure->ended = true;
           return;
         }
@@ -175,8 +177,8 @@
 {
   struct received_promise *promise = find_received_promise (tenure, member);
 
-  /* Had it sent the write that ends this tenure before it stopped, the write
-     could still arrive; that is ruled out only within the quiet time. */
+  /* After the quiet time the member may have sent the write that ends this
+     tenure before it stopped, and the write may still reach the store. */
   if (promise != NULL && now < promise->cannot_fence_before)
     promise->stopped = true;
 }
@@ -223,8 +225,9 @@
   return rst_tenure_get_expiry (tenure, now) > now;
 }
 
-/* ---- Promises given --------------------------------------------------- */
+/* ---- Promises issued -------------------------------------------------- */
 
+/* The last promise made to one member. */
 struct issued_promise
 {
   char member[RST_NAME_SIZE];
--- a/test/unit/coordination_test.cc
+++ b/test/unit/coordination_test.cc
@@ -1,5 +1,6 @@
 /**
- * DOC: coordination_test - lease, tenure, ownership, limits, retries
+ * DOC: coordination_test - tests of leases, tenures, ownership, upper limits,
+ * retry budgets and circuit breakers
  */
 #include <cstdlib>
 #include <cstring>
