--- a/src/coordination/scheduler.c
+++ b/src/coordination/scheduler.c
@@ -430,16 +430,17 @@
 {
   struct branch_status *status = userdata;
   struct json_object *item = json_object_new_object ();
-  uint64_t refused;
+  uint64_t refused_revision;
   const char *problem
-      = rst_settings_problem (status->sched->settings, key, &refused);
+      = rst_settings_problem (status->sched->settings, key, &refused_revision);
 
   (void)value;
   rst_json_set_text (item, "key", key);
   rst_json_set_number (item, "revision", (int64_t)revision);
   if (problem != NULL)
     {
-      rst_json_set_number (item, "refused_revision", (int64_t)refused);
+      rst_json_set_number (item, "refused_revision",
+                           (int64_t)refused_revision);
       rst_json_set_text (item, "problem", problem);
     }
   json_object_array_add (status->list, item);
--- a/src/coordination/tenure.c
+++ b/src/coordination/tenure.c
@@ -232,7 +232,7 @@
 {
   char member[RST_NAME_SIZE];
   rst_ms expires_at;
-  rst_ms last_request_at;
+  rst_ms issued_at;
   bool refused;
   CK_LIST_ENTRY (issued_promise) entry;
 };
@@ -294,7 +294,7 @@
   if (promise == NULL)
     return NULL;
   g_strlcpy (promise->member, member, RST_NAME_SIZE);
-  promise->last_request_at = promises->created_at;
+  promise->issued_at = promises->created_at;
   CK_LIST_INSERT_HEAD (&promises->issued, promise, entry);
   return promise;
 }
@@ -308,7 +308,7 @@
 
   if (promise == NULL || promise->refused)
     return 0;
-  promise->last_request_at = now;
+  promise->issued_at = now;
   promise->expires_at = now + promises->config.promise_ms;
   return promises->config.promise_ms;
 }
@@ -319,12 +319,12 @@
 {
   const struct issued_promise *promise
       = find_issued_promise (promises, member);
-  rst_ms last_request_at
-      = promise != NULL ? promise->last_request_at : promises->created_at;
+  rst_ms issued_at
+      = promise != NULL ? promise->issued_at : promises->created_at;
 
   if (promise != NULL && now < promise->expires_at)
     return false;
-  return now - last_request_at >= promises->config.quiet_ms;
+  return now - issued_at >= promises->config.quiet_ms;
 }
 
 void
