--- a/include/rosemarystile.h
+++ b/include/rosemarystile.h
@@ -419,8 +419,8 @@
  * @lease_ms: Time to live of the store lease.
  * @margin_ms: Time by which the holder stops early, on leases and promises.
  * @promise_ms: Duration of a promise.
- * @quiet_ms: How long a process must have received no promise request from a
- *   member before it may end the member's tenure; more than @promise_ms.
+ * @quiet_ms: Time that must pass after the last promise to a member before its
+ *   tenure may be ended; more than @promise_ms.
  */
 struct rst_tenure_config
 {
@@ -561,8 +561,8 @@
  * @member: Incarnation of the member.
  * @now: Current time.
  *
- * Return: Whether all promises to the member have expired and it has requested
- * none for the quiet time.
+ * Return: Whether the quiet time has passed since the last promise to the
+ * member, or since the table was created if there is none.
  */
 bool rst_promises_allow_fencing (const struct rst_promises *promises,
                                  const char *member, rst_ms now);
--- a/src/coordination/tenure.c
+++ b/src/coordination/tenure.c
@@ -14,8 +14,8 @@
   CK_LIST_ENTRY (required_member) entry;
 };
 
-/* The promises received from one member.  Before cannot_fence_before it cannot
-   have ended this tenure; stopped means that it can never end it. */
+/* The promises received from one member.  The member can't end this tenure
+   before cannot_fence_before, and never if it has stopped. */
 struct received_promise
 {
   char member[RST_NAME_SIZE];
@@ -227,7 +227,8 @@
 
 /* ---- Promises issued -------------------------------------------------- */
 
-/* The last promise made to one member. */
+/* The last promise made to one member.  If none was made, it counts as issued
+   when the table was created. */
 struct issued_promise
 {
   char member[RST_NAME_SIZE];
