--- a/src/coordination/entry.h
+++ b/src/coordination/entry.h
@@ -122,19 +122,19 @@
  * outcome and frees an entry; NULL is allowed. */
 void rst_entry_destroy (struct rst_entry *entry);
 
-/** rst_entry_add_seed_address() - Adds an address at which a scheduler may be
- * found before the settings are known. */
+/** rst_entry_add_seed_address() - Adds an address to connect to, besides those
+ * of the members of all zones. */
 void rst_entry_add_seed_address (struct rst_entry *entry, const char *address);
 
 /** rst_entry_tick() - Performs all actions that are due; call it every few
  * milliseconds. */
 void rst_entry_tick (struct rst_entry *entry);
 
-/** rst_entry_handle_link_opened() - Handles that a link is open. */
+/** rst_entry_handle_link_opened() - Handles the opening of a link. */
 void rst_entry_handle_link_opened (struct rst_entry *entry, uint64_t link);
 
-/** rst_entry_handle_link_closed() - Handles that a link was closed or could
- * not be opened; its pending requests are retried or fail. */
+/** rst_entry_handle_link_closed() - Handles the closing of a link, or a link
+ * that could not be opened; its pending requests are retried or fail. */
 void rst_entry_handle_link_closed (struct rst_entry *entry, uint64_t link);
 
 /** rst_entry_handle_message() - Handles a message received on a link; the
@@ -160,8 +160,8 @@
 /** rst_entry_count_pending() - Counts the requests that have no reply yet. */
 int64_t rst_entry_count_pending (const struct rst_entry *entry);
 
-/** rst_entry_is_ready() - Checks whether it has settings, a link to a
- * scheduler that is ready, and accepts requests. */
+/** rst_entry_is_ready() - Checks whether it accepts requests: it is not
+ * stopping, has settings and is connected to a scheduler that is ready. */
 bool rst_entry_is_ready (const struct rst_entry *entry);
 
 /** rst_entry_get_counters() - Returns its counters, valid until it is
--- a/src/coordination/scheduler.h
+++ b/src/coordination/scheduler.h
@@ -70,7 +70,8 @@
 /**
  * struct rst_link_ops - Functions with which a process reaches its peers.
  * @connect: Begins to open a link and returns its id, or 0 on failure.  The
- *   caller reports later whether the link was opened or closed.
+ *   outcome is reported later to the handle_link_opened() or
+ *   handle_link_closed() function of the scheduler or entry.
  * @send: Sends a message on a link; returns false if it was not sent.
  * @close: Closes a link.
  *
@@ -143,8 +144,8 @@
  */
 void rst_scheduler_destroy (struct rst_scheduler *scheduler);
 
-/** rst_scheduler_add_seed_address() - Adds an address at which a peer may be
- * found before the settings are known. */
+/** rst_scheduler_add_seed_address() - Adds an address to connect to, besides
+ * those of the members of all zones. */
 void rst_scheduler_add_seed_address (struct rst_scheduler *scheduler,
                                      const char *address);
 
@@ -152,13 +153,13 @@
  * milliseconds. */
 void rst_scheduler_tick (struct rst_scheduler *scheduler);
 
-/** rst_scheduler_handle_link_opened() - Handles that a link is open, whether
- * this process or the peer has connected. */
+/** rst_scheduler_handle_link_opened() - Handles the opening of a link, by this
+ * process or by the peer. */
 void rst_scheduler_handle_link_opened (struct rst_scheduler *scheduler,
                                        uint64_t link);
 
-/** rst_scheduler_handle_link_closed() - Handles that a link was closed or
- * could not be opened. */
+/** rst_scheduler_handle_link_closed() - Handles the closing of a link, or a
+ * link that could not be opened. */
 void rst_scheduler_handle_link_closed (struct rst_scheduler *scheduler,
                                        uint64_t link);
 
