--- a/src/cell/agent.c
+++ b/src/cell/agent.c
@@ -21,7 +21,7 @@
 /** Longest time without anything due, in milliseconds. */
 #define IDLE_MS 1000
 
-struct held
+struct held_instance
 {
   struct rst_agent *agent;
   char id[RST_ID_SIZE];
@@ -29,11 +29,11 @@
   int64_t fence;
   int64_t last_seen;
   int64_t last_listed;
-  int64_t born;
+  int64_t incarnation;
   int64_t clock_ms;
   rst_ms clock_read_at;
   rst_ms lease_expires_at;
-  rst_ms wait_ms;
+  rst_ms poll_wait_ms;
   bool poll_pending;
   bool released;
   /* Whether the last answer came from the life that the numbers belong to.
@@ -45,7 +45,7 @@
 struct rst_agent
 {
   struct rst_agent_config config;
-  GHashTable *held;
+  GHashTable *instances;
   rst_ms confirmed_at;
 };
 
@@ -72,7 +72,7 @@
   struct rst_agent *agent = g_new0 (struct rst_agent, 1);
 
   agent->config = *config;
-  agent->held = g_hash_table_new (g_str_hash, g_str_equal);
+  agent->instances = g_hash_table_new (g_str_hash, g_str_equal);
   return agent;
 }
 
@@ -84,10 +84,10 @@
 
   if (agent == NULL)
     return;
-  g_hash_table_iter_init (&iter, agent->held);
+  g_hash_table_iter_init (&iter, agent->instances);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     g_free (value);
-  g_hash_table_destroy (agent->held);
+  g_hash_table_destroy (agent->instances);
   g_free (agent);
 }
 
@@ -102,7 +102,7 @@
 /* End of the lease on the instance's clock, or 0 when it may not be
    extended or its clock is not known. */
 static int64_t
-extend_lease (struct held *held, rst_ms now)
+extend_lease (struct held_instance *held, rst_ms now)
 {
   struct rst_agent *agent = held->agent;
 
@@ -127,8 +127,8 @@
 }
 
 static void
-send_report (struct held *held, const struct rst_instance_answer *answer,
-             rst_ms now)
+send_report (struct held_instance *held,
+             const struct rst_instance_answer *answer, rst_ms now)
 {
   struct rst_pack pack;
 
@@ -137,7 +137,7 @@
   rst_pack_text (&pack, held->id);
   rst_pack_int (&pack, answer->result);
   rst_pack_int (&pack, answer->clock_ms);
-  rst_pack_int (&pack, answer->born);
+  rst_pack_int (&pack, answer->incarnation);
   rst_pack_int (&pack, MAX (held->lease_expires_at - now, 0));
   rst_pack_int (&pack, held->fence);
   rst_pack_array (&pack, answer->runs->len);
@@ -147,8 +147,8 @@
 }
 
 static void
-update_clock (struct held *held, const struct rst_instance_answer *answer,
-              rst_ms now)
+update_clock (struct held_instance *held,
+              const struct rst_instance_answer *answer, rst_ms now)
 {
   if (answer->clock_ms == 0)
     return;
@@ -156,15 +156,15 @@
   held->clock_read_at = now;
 }
 
-static void poll_instance (struct held *held, rst_ms now);
+static void poll_instance (struct held_instance *held, rst_ms now);
 
 static void
-update_from_poll (struct held *held, const struct rst_instance_answer *answer,
-                  rst_ms now)
+update_from_poll (struct held_instance *held,
+                  const struct rst_instance_answer *answer, rst_ms now)
 {
-  if (answer->born != held->born)
+  if (answer->incarnation != held->incarnation)
     {
-      held->born = answer->born;
+      held->incarnation = answer->incarnation;
       held->last_seen = 0;
       held->last_listed = 0;
     }
@@ -179,7 +179,7 @@
 static void
 on_poll_done (struct rst_instance_answer *answer, void *userdata)
 {
-  struct held *held = userdata;
+  struct held_instance *held = userdata;
   rst_ms now = held->agent->config.now ();
 
   held->poll_pending = false;
@@ -204,7 +204,7 @@
 }
 
 static void
-poll_instance (struct held *held, rst_ms now)
+poll_instance (struct held_instance *held, rst_ms now)
 {
   struct rst_instance_call call = { 0 };
   const struct rst_backend *backend = held->agent->config.backend;
@@ -216,7 +216,7 @@
   call.deadline_ms = extend_lease (held, now);
   /* Ends that wait to be stored would end the wait at once. */
   if (held->same_incarnation && held->last_listed <= held->last_seen)
-    call.wait_ms = held->wait_ms;
+    call.wait_ms = held->poll_wait_ms;
   held->poll_pending = true;
   backend->hold (backend->userdata, &call, on_poll_done, held);
 }
@@ -224,22 +224,22 @@
 static void
 release_instance (struct rst_agent *agent, const char *id)
 {
-  struct held *held = g_hash_table_lookup (agent->held, id);
+  struct held_instance *held = g_hash_table_lookup (agent->instances, id);
 
   if (held == NULL)
     return;
-  g_hash_table_remove (agent->held, id);
+  g_hash_table_remove (agent->instances, id);
   held->released = true;
   if (!held->poll_pending)
     g_free (held);
 }
 
 static void
-hold (struct rst_agent *agent, struct rst_reader *reader)
+hold_instance (struct rst_agent *agent, struct rst_reader *reader)
 {
   char id[RST_ID_SIZE];
   char address[RST_ADDRESS_SIZE];
-  struct held *held;
+  struct held_instance *held;
   int64_t fence;
   int64_t last_seen;
 
@@ -249,7 +249,7 @@
   last_seen = rst_reader_read_int (reader);
   if (reader->bad)
     return;
-  held = g_hash_table_lookup (agent->held, id);
+  held = g_hash_table_lookup (agent->instances, id);
   if (held != NULL
       && (held->fence != fence || strcmp (held->address, address) != 0))
     {
@@ -259,12 +259,12 @@
     }
   if (held == NULL)
     {
-      held = g_new0 (struct held, 1);
+      held = g_new0 (struct held_instance, 1);
       held->agent = agent;
-      held->wait_ms = POLL_WAIT_MAX_MS;
+      held->poll_wait_ms = POLL_WAIT_MAX_MS;
       g_strlcpy (held->id, id, sizeof held->id);
       g_strlcpy (held->address, address, sizeof held->address);
-      g_hash_table_insert (agent->held, held->id, held);
+      g_hash_table_insert (agent->instances, held->id, held);
     }
   held->fence = fence;
   held->last_seen = MAX (held->last_seen, last_seen);
@@ -276,16 +276,16 @@
 handle_ack (struct rst_agent *agent, struct rst_reader *reader)
 {
   char id[RST_ID_SIZE];
-  struct held *held;
+  struct held_instance *held;
   int64_t number;
-  int64_t born;
+  int64_t incarnation;
 
   rst_reader_copy_text (reader, id, sizeof id);
   number = rst_reader_read_int (reader);
-  born = rst_reader_read_int (reader);
-  held = g_hash_table_lookup (agent->held, id);
+  incarnation = rst_reader_read_int (reader);
+  held = g_hash_table_lookup (agent->instances, id);
   /* Another life has numbered its ends anew. */
-  if (reader->bad || held == NULL || born != held->born
+  if (reader->bad || held == NULL || incarnation != held->incarnation
       || number > held->last_listed)
     return;
   held->last_seen = MAX (held->last_seen, number);
@@ -311,7 +311,8 @@
 
 /* A failed order, or a clock that went back, may mean another life. */
 static void
-check_incarnation (struct held *held, const struct rst_instance_answer *answer)
+check_incarnation (struct held_instance *held,
+                   const struct rst_instance_answer *answer)
 {
   bool answered = answer->clock_ms != 0;
 
@@ -325,10 +326,11 @@
 }
 
 static void
-on_order (struct rst_instance_answer *answer, void *userdata)
+on_order_done (struct rst_instance_answer *answer, void *userdata)
 {
   struct order *order = userdata;
-  struct held *held = g_hash_table_lookup (order->agent->held, order->id);
+  struct held_instance *held
+      = g_hash_table_lookup (order->agent->instances, order->id);
 
   if (held != NULL)
     check_incarnation (held, answer);
@@ -340,16 +342,16 @@
 
 /* Reads which run of which instance an order is for, and aims the call at it.
    Returns what is held of the instance, or NULL. */
-static struct held *
+static struct held_instance *
 read_order (struct order *order, struct rst_reader *reader,
             struct rst_instance_call *call)
 {
-  struct held *held;
+  struct held_instance *held;
 
   rst_reader_copy_text (reader, order->id, sizeof order->id);
   rst_reader_copy_text (reader, order->task, sizeof order->task);
   order->attempt = (int)rst_reader_read_int (reader);
-  held = g_hash_table_lookup (order->agent->held, order->id);
+  held = g_hash_table_lookup (order->agent->instances, order->id);
   if (held == NULL)
     return NULL;
   call->id = held->id;
@@ -366,7 +368,7 @@
   const struct rst_backend *backend = agent->config.backend;
   struct order *order = g_new0 (struct order, 1);
   struct rst_instance_call call = { 0 };
-  struct held *held;
+  struct held_instance *held;
   char *spec = NULL;
   char *checkpoint = NULL;
   char *ticket = NULL;
@@ -388,10 +390,10 @@
       call.checkpoint = checkpoint = rst_reader_read_text (reader);
       call.ticket = ticket = rst_reader_read_text (reader);
       call.deadline_ms = extend_lease (held, agent->config.now ());
-      backend->start (backend->userdata, &call, on_order, order);
+      backend->start (backend->userdata, &call, on_order_done, order);
     }
   else
-    backend->stop (backend->userdata, &call, on_order, order);
+    backend->stop (backend->userdata, &call, on_order_done, order);
   g_free (spec);
   g_free (checkpoint);
   g_free (ticket);
@@ -399,7 +401,7 @@
 
 /* A lost order on the pace is not answered; the planner repeats it. */
 static void
-on_pace (struct rst_instance_answer *answer, void *userdata)
+on_pace_done (struct rst_instance_answer *answer, void *userdata)
 {
   struct order *order = userdata;
 
@@ -412,12 +414,12 @@
 }
 
 static void
-pace (struct rst_agent *agent, struct rst_reader *reader)
+forward_pace (struct rst_agent *agent, struct rst_reader *reader)
 {
   const struct rst_backend *backend = agent->config.backend;
   struct order *order = g_new0 (struct order, 1);
   struct rst_instance_call call = { 0 };
-  const struct held *held;
+  const struct held_instance *held;
 
   order->agent = agent;
   order->kind = RST_MSG_PACE;
@@ -429,32 +431,32 @@
       g_free (order);
       return;
     }
-  backend->pace (backend->userdata, &call, on_pace, order);
+  backend->pace (backend->userdata, &call, on_pace_done, order);
 }
 
 static void
 set_poll_wait (struct rst_agent *agent, struct rst_reader *reader)
 {
   char id[RST_ID_SIZE];
-  struct held *held;
+  struct held_instance *held;
   int64_t wait_ms;
 
   rst_reader_copy_text (reader, id, sizeof id);
   wait_ms = rst_reader_read_int (reader);
-  held = g_hash_table_lookup (agent->held, id);
+  held = g_hash_table_lookup (agent->instances, id);
   if (held != NULL && !reader->bad)
-    held->wait_ms = CLAMP (wait_ms, 1, POLL_WAIT_MAX_MS);
+    held->poll_wait_ms = CLAMP (wait_ms, 1, POLL_WAIT_MAX_MS);
 }
 
 static void
-on_advice (struct rst_advice_answer *answer, void *userdata)
+on_advice_done (struct rst_advice_answer *answer, void *userdata)
 {
-  struct advice_request *advice_request = userdata;
+  struct advice_request *request = userdata;
   struct rst_pack pack;
 
   rst_pack_init (&pack, 4);
   rst_pack_int (&pack, RST_MSG_ADVICE);
-  rst_pack_int (&pack, advice_request->handle);
+  rst_pack_int (&pack, request->handle);
   rst_pack_int (&pack, answer->result);
   rst_pack_array (&pack, answer->tickets->len);
   for (guint i = 0; i < answer->tickets->len; i++)
@@ -466,28 +468,28 @@
       rst_pack_text (&pack, ticket->id);
       rst_pack_text (&pack, ticket->ticket);
     }
-  send_pack (advice_request->agent, &pack);
+  send_pack (request->agent, &pack);
   rst_advice_answer_free (answer);
-  g_free (advice_request);
+  g_free (request);
 }
 
 static void
 request_advice (struct rst_agent *agent, struct rst_reader *reader)
 {
   const struct rst_backend *backend = agent->config.backend;
-  struct advice_request *advice_request = g_new0 (struct advice_request, 1);
+  struct advice_request *request = g_new0 (struct advice_request, 1);
   GPtrArray *ids = g_ptr_array_new_with_free_func (g_free);
   struct rst_reader rows;
   char *step;
 
-  advice_request->agent = agent;
-  advice_request->handle = rst_reader_read_int (reader);
+  request->agent = agent;
+  request->handle = rst_reader_read_int (reader);
   step = rst_reader_read_text (reader);
   rows = rst_reader_read_array (reader);
   for (uint32_t i = 0; i < rows.count; i++)
     g_ptr_array_add (ids, rst_reader_read_text (&rows));
   backend->advise (backend->userdata, step, (const char *const *)ids->pdata,
-                   (int)ids->len, on_advice, advice_request);
+                   (int)ids->len, on_advice_done, request);
   g_ptr_array_free (ids, TRUE);
   g_free (step);
 }
@@ -501,7 +503,7 @@
   switch (kind)
     {
     case RST_MSG_HOLD:
-      hold (agent, reader);
+      hold_instance (agent, reader);
       break;
     case RST_MSG_RELEASE:
       rst_reader_copy_text (reader, id, sizeof id);
@@ -515,7 +517,7 @@
       handle_ack (agent, reader);
       break;
     case RST_MSG_PACE:
-      pace (agent, reader);
+      forward_pace (agent, reader);
       break;
     case RST_MSG_SET_POLL_WAIT:
       set_poll_wait (agent, reader);
@@ -545,10 +547,10 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, agent->held);
+  g_hash_table_iter_init (&iter, agent->instances);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      struct held *held = value;
+      struct held_instance *held = value;
 
       if (held->poll_pending)
         continue;
--- a/src/cell/backend.h
+++ b/src/cell/backend.h
@@ -162,14 +162,14 @@
  * struct rst_instance_answer - What an instance said.
  * @result: How the call ended.
  * @clock_ms: The instance's own steady clock.
- * @born: Unix time of its start; 0 when it did not say.
+ * @incarnation: Unix time of its start; 0 when it did not say.
  * @runs: struct rst_run; those that run, then those that ended.
  */
 struct rst_instance_answer
 {
   enum rst_result result;
   int64_t clock_ms;
-  int64_t born;
+  int64_t incarnation;
   GArray *runs;
 };
 
--- a/src/cell/cellconfig.h
+++ b/src/cell/cellconfig.h
@@ -104,7 +104,7 @@
  * @rack: Its rack, one of the labels, or "".
  * @capacity: All that it has.
  * @draining: It leaves and takes no new work.
- * @born: Unix time of its start; 0 when it did not say.
+ * @incarnation: Unix time of its start; 0 when it did not say.
  */
 struct rst_instance_entry
 {
@@ -116,7 +116,7 @@
   char rack[RST_ID_SIZE];
   struct rst_resources capacity;
   bool draining;
-  int64_t born;
+  int64_t incarnation;
 };
 
 /** rst_instance_entry_has_label() - Whether an instance has a label. */
--- a/src/cell/pace.c
+++ b/src/cell/pace.c
@@ -16,13 +16,13 @@
 #define PACE_STEP_UP_PERCENT 10
 
 int
-rst_pace_adjust (int pace, int64_t load)
+rst_pace_adjust (int pace_percent, int64_t load_percent)
 {
-  if (load >= LOAD_STOP_PERCENT)
+  if (load_percent >= LOAD_STOP_PERCENT)
     return 0;
-  if (load >= LOAD_SLOW_PERCENT)
-    return pace / 2;
-  if (load < LOAD_RECOVER_PERCENT)
-    return MIN (pace + PACE_STEP_UP_PERCENT, RST_PACE_FULL_PERCENT);
-  return pace;
+  if (load_percent >= LOAD_SLOW_PERCENT)
+    return pace_percent / 2;
+  if (load_percent < LOAD_RECOVER_PERCENT)
+    return MIN (pace_percent + PACE_STEP_UP_PERCENT, RST_PACE_FULL_PERCENT);
+  return pace_percent;
 }
--- a/src/cell/pace.h
+++ b/src/cell/pace.h
@@ -18,12 +18,12 @@
 
 /**
  * rst_pace_adjust() - The next pace of the filling tasks of an instance.
- * @pace: The present one, in hundredths.
- * @load: The worst response time of its serving tasks, as hundredths of its
- *   bound.
+ * @pace_percent: The present one, in hundredths.
+ * @load_percent: The worst response time of its serving tasks, as hundredths
+ * of its bound.
  *
  * Return: The next pace, 0 to RST_PACE_FULL_PERCENT.
  */
-int rst_pace_adjust (int pace, int64_t load);
+int rst_pace_adjust (int pace_percent, int64_t load_percent);
 
 #endif
--- a/src/cell/plan_advice.c
+++ b/src/cell/plan_advice.c
@@ -59,7 +59,8 @@
   if (!step->occurrence->job->queue->settings.needs_approval)
     return "";
   leave = g_hash_table_lookup (step->leaves, instance->entry.id);
-  if (leave == NULL || leave->rejected || leave->born != instance->born
+  if (leave == NULL || leave->rejected
+      || leave->incarnation != instance->incarnation
       || leave->expires_at <= planner->now)
     return NULL;
   return leave->ticket;
@@ -402,7 +403,7 @@
           g_hash_table_insert (step->leaves, g_strdup (id), leave);
         }
       leave->rejected = ticket == NULL;
-      leave->born = instance->born;
+      leave->incarnation = instance->incarnation;
       /* Validity counts from the answer, which came a moment ago. */
       leave->expires_at
           = planner->now + queue->settings.advice_valid_ms - TICKET_MARGIN_MS;
--- a/src/cell/plan_instances.c
+++ b/src/cell/plan_instances.c
@@ -294,7 +294,8 @@
   if (instance->agent == NULL)
     rst_plan_assign_instances (planner);
   else if (address_changed
-           || (entry->born > instance->born && instance->born > 0))
+           || (entry->incarnation > instance->incarnation
+               && instance->incarnation > 0))
     send_hold (planner, instance);
 }
 
@@ -485,13 +486,14 @@
    turns late orders away, and has said since what it runs. */
 static bool
 raise_fencing_token (struct rst_planner *planner, struct instance *instance,
-                     int64_t born)
+                     int64_t incarnation)
 {
-  if (instance->born == 0 || instance->fenced_incarnation == born)
+  if (instance->incarnation == 0
+      || instance->fenced_incarnation == incarnation)
     return false;
   rst_info (RST_PLAN_LOG, "Instance was born anew.", "instance",
             instance->entry.id);
-  instance->fenced_incarnation = born;
+  instance->fenced_incarnation = incarnation;
   instance->incarnation_count++;
   instance->last_acked_end = 0;
   instance->committing_end = 0;
@@ -502,11 +504,11 @@
 
 static void
 begin_incarnation (struct rst_planner *planner, struct instance *instance,
-                   int64_t born)
+                   int64_t incarnation)
 {
-  if (instance->born != 0)
+  if (instance->incarnation != 0)
     mark_runs_lost (planner, instance, "born anew");
-  instance->born = born;
+  instance->incarnation = incarnation;
   instance->incarnation_seen_at = planner->now;
   instance->last_seen_end = 0;
   instance->last_acked_end = 0;
@@ -523,14 +525,14 @@
   struct rst_reader runs;
   enum rst_result result;
   int64_t clock_ms;
-  int64_t born;
+  int64_t incarnation;
   int64_t lease_left;
   int64_t report_token;
 
   rst_reader_copy_text (reader, id, sizeof id);
   result = (enum rst_result)rst_reader_read_int (reader);
   clock_ms = rst_reader_read_int (reader);
-  born = rst_reader_read_int (reader);
+  incarnation = rst_reader_read_int (reader);
   lease_left = rst_reader_read_int (reader);
   report_token = rst_reader_read_int (reader);
   runs = rst_reader_read_array (reader);
@@ -551,12 +553,13 @@
         }
       return;
     }
-  if (born < instance->born)
+  if (incarnation < instance->incarnation)
     return;
-  if (born > instance->born && raise_fencing_token (planner, instance, born))
+  if (incarnation > instance->incarnation
+      && raise_fencing_token (planner, instance, incarnation))
     return;
-  if (born > instance->born)
-    begin_incarnation (planner, instance, born);
+  if (incarnation > instance->incarnation)
+    begin_incarnation (planner, instance, incarnation);
   instance->runs_known = true;
   instance->inherited = false;
   apply_report (planner, instance, &runs, clock_ms);
@@ -636,7 +639,7 @@
   rst_pack_int (&pack, RST_MSG_ACK);
   rst_pack_text (&pack, instance->entry.id);
   rst_pack_int (&pack, instance->last_acked_end);
-  rst_pack_int (&pack, instance->born);
+  rst_pack_int (&pack, instance->incarnation);
   rst_plan_send (planner, instance->agent->link, &pack);
 }
 
--- a/src/cell/plan_jobs.c
+++ b/src/cell/plan_jobs.c
@@ -247,7 +247,7 @@
     job->queue->pending--;
   if (!RST_CELL_FAULT (RST_CELL_FAULT_IGNORE_CANCEL))
     stop_steps (planner, job);
-  rst_plan_mark (planner, job);
+  rst_plan_mark_dirty (planner, job);
   count_ended_job (planner, job);
   rst_info (RST_PLAN_LOG, "Job ended.", "job", job->id, "state",
             state == RST_JOB_COMPLETED ? "completed"
@@ -395,7 +395,7 @@
     reply (planner, call, RST_OUTCOME_OK);
   else
     reply_after_commit (job, call);
-  rst_plan_mark (planner, job);
+  rst_plan_mark_dirty (planner, job);
   if (job->desc->repeats == 0)
     rst_plan_enqueue_steps (planner, rst_plan_occurrence_new (job, 0));
   planner->stats.accepted++;
--- a/src/cell/plan_journal.c
+++ b/src/cell/plan_journal.c
@@ -26,7 +26,7 @@
 #define UNREACHABLE_AFTER_MS 300
 
 void
-rst_plan_mark (struct rst_planner *planner, struct job *job)
+rst_plan_mark_dirty (struct rst_planner *planner, struct job *job)
 {
   if (job->dirty)
     return;
@@ -134,7 +134,7 @@
           continue;
         }
       job->needs_full_record = true;
-      rst_plan_mark (planner, job);
+      rst_plan_mark_dirty (planner, job);
     }
 }
 
@@ -315,7 +315,7 @@
 void
 rst_plan_commit (struct rst_planner *planner)
 {
-  bool any;
+  bool has_changes;
 
   if (RST_CELL_FAULT (RST_CELL_FAULT_EARLY_ACK))
     {
@@ -325,19 +325,19 @@
   if (planner->commit_busy
       || planner->now - planner->last_commit < COMMIT_INTERVAL_MS)
     return;
-  any = planner->dirty->len > 0
-        || pack_instances_and_queues (planner, NULL) > 0;
-  if (!any && !planner->acks_pending)
+  has_changes = planner->dirty->len > 0
+                || pack_instances_and_queues (planner, NULL) > 0;
+  if (!has_changes && !planner->acks_pending)
     return;
   planner->last_commit = planner->now;
-  if (any)
+  if (has_changes)
     commit_segment (planner);
   /* Ends whose jobs wait for the next segment are not stored yet. */
   planner->acks_pending = planner->dirty->len > 0;
   if (!planner->acks_pending)
     mark_ends_committing (planner);
   /* Nothing of the ends has to last. */
-  if (!any)
+  if (!has_changes)
     rst_plan_send_acks (planner);
 }
 
--- a/src/cell/plan_record.c
+++ b/src/cell/plan_record.c
@@ -8,11 +8,11 @@
 #define STEPS_RETENTION_MS 15000
 
 static void
-add_number (GByteArray *bytes, int number)
+append_int32 (GByteArray *bytes, int number)
 {
-  guint32 ordered = g_htonl ((guint32)number);
+  guint32 big_endian = g_htonl ((guint32)number);
 
-  g_byte_array_append (bytes, (const guint8 *)&ordered, sizeof ordered);
+  g_byte_array_append (bytes, (const guint8 *)&big_endian, sizeof big_endian);
 }
 
 /* A task is its flags and count of failed runs, its last attempt and
@@ -33,9 +33,9 @@
       if (step->occurrence->job->has_started)
         head[0] |= RST_TASK_STARTED_FLAG;
       g_byte_array_append (bytes, head, sizeof head);
-      add_number (bytes, task->attempt);
+      append_int32 (bytes, task->attempt);
       for (int k = 0; k < failed_runs; k++)
-        add_number (bytes, task->failed_attempts[k]);
+        append_int32 (bytes, task->failed_attempts[k]);
     }
   rst_pack_bytes (pack, bytes->data, bytes->len);
   g_byte_array_free (bytes, TRUE);
@@ -68,7 +68,7 @@
 pack_ended_job (struct rst_pack *pack, const struct job *job)
 {
   rst_pack_array (pack, 6);
-  rst_pack_int (pack, RST_RECORD_JOB_OVER);
+  rst_pack_int (pack, RST_RECORD_JOB_ENDED);
   rst_pack_text (pack, job->id);
   rst_pack_text (pack, job->queue->settings.name);
   rst_pack_text (pack, job->customer->settings.name);
@@ -136,7 +136,7 @@
   gpointer value;
 
   rst_pack_array (pack, 6);
-  rst_pack_int (pack, RST_RECORD_INSTANCE_OUT);
+  rst_pack_int (pack, RST_RECORD_INSTANCE_UNREACHABLE);
   rst_pack_text (pack, instance->entry.id);
   rst_pack_text (pack, instance->entry.address);
   rst_pack_text (pack, instance->entry.zone);
--- a/src/cell/plan_restore.c
+++ b/src/cell/plan_restore.c
@@ -16,14 +16,14 @@
 #define TASK_BYTES_MIN 6
 
 static int
-read_number (const guint8 *bytes, size_t length, size_t *at)
+read_int32 (const guint8 *bytes, size_t length, size_t *at)
 {
-  guint32 ordered = 0;
+  guint32 big_endian = 0;
 
-  if (*at + sizeof ordered <= length)
-    memcpy (&ordered, bytes + *at, sizeof ordered);
-  *at += sizeof ordered;
-  return (int)g_ntohl (ordered);
+  if (*at + sizeof big_endian <= length)
+    memcpy (&big_endian, bytes + *at, sizeof big_endian);
+  *at += sizeof big_endian;
+  return (int)g_ntohl (big_endian);
 }
 
 static void
@@ -40,12 +40,12 @@
 
       task->failed_runs = MIN (bytes[at + 1], RST_FAILED_RUNS_MAX);
       at += 2;
-      attempt = read_number (bytes, length, &at);
+      attempt = read_int32 (bytes, length, &at);
       task->attempt = MAX (task->attempt, attempt);
       if (has_started)
         rst_plan_job_mark_started (step->occurrence->job);
       for (int k = 0; k < task->failed_runs; k++)
-        task->failed_attempts[k] = read_number (bytes, length, &at);
+        task->failed_attempts[k] = read_int32 (bytes, length, &at);
       if (!done || task->done)
         continue;
       task->done = true;
@@ -310,13 +310,13 @@
           restore_progress (planner, job, &in);
         }
       break;
-    case RST_RECORD_JOB_OVER:
+    case RST_RECORD_JOB_ENDED:
       restore_ended_job (planner, &in, segment);
       break;
     case RST_RECORD_INSTANCE:
       restore_instance (planner, &in);
       break;
-    case RST_RECORD_INSTANCE_OUT:
+    case RST_RECORD_INSTANCE_UNREACHABLE:
       restore_unreachable_instance (planner, &in);
       break;
     case RST_RECORD_QUEUE:
--- a/src/cell/plan_runs.c
+++ b/src/cell/plan_runs.c
@@ -300,7 +300,7 @@
 {
   struct step *step = task->step;
 
-  rst_plan_mark (planner, step->occurrence->job);
+  rst_plan_mark_dirty (planner, step->occurrence->job);
   if (!step->spec->gang)
     {
       finish_task (planner, task);
@@ -352,7 +352,7 @@
   task->bad = instance;
   if (step->spec->long_running || !count_failure (counter, attempt))
     return;
-  rst_plan_mark (planner, job);
+  rst_plan_mark_dirty (planner, job);
   if (counter->failed_runs >= MAX (job->queue->settings.max_failures, 1)
       && !RST_CELL_FAULT (RST_CELL_FAULT_IGNORE_FAILURES))
     rst_plan_end_job (planner, job, RST_JOB_FAILED);
--- a/src/cell/planner_client.c
+++ b/src/cell/planner_client.c
@@ -41,8 +41,8 @@
   rst_ms connect_started_at;
   rst_ms confirmed_at;
   bool closed_by_peer;
-  bool reading;
-  rst_ms next_read;
+  bool read_pending;
+  rst_ms next_read_at;
   int64_t revision;
   rst_ms record_changed_at;
 };
@@ -109,14 +109,15 @@
 static void
 clear_link (struct rst_planner_client *client)
 {
-  bool was = client->welcomed;
+  bool was_welcomed = client->welcomed;
 
   client->link = 0;
   client->open = false;
   client->welcomed = false;
   /* A link that never worked must not make this a busy loop. */
-  client->next_read = was ? 0 : client->config.now () + RECONNECT_DELAY_MS;
-  if (was)
+  client->next_read_at
+      = was_welcomed ? 0 : client->config.now () + RECONNECT_DELAY_MS;
+  if (was_welcomed)
     client->config.on_disconnected (client->config.userdata);
 }
 
@@ -132,8 +133,8 @@
 }
 
 static void
-connect_to (struct rst_planner_client *client, int64_t epoch,
-            const char *address)
+connect_to_planner (struct rst_planner_client *client, int64_t epoch,
+                    const char *address)
 {
   if (client->link != 0 && client->link_epoch >= epoch)
     return;
@@ -150,7 +151,7 @@
                              const char *address)
 {
   if (epoch > client->link_epoch || client->link == 0)
-    connect_to (client, epoch, address);
+    connect_to_planner (client, epoch, address);
 }
 
 void
@@ -283,7 +284,7 @@
       client->record_changed_at = now;
     }
   if (!resigned && (client->link == 0 || record.epoch > client->link_epoch))
-    connect_to (client, record.epoch, record.address);
+    connect_to_planner (client, record.epoch, record.address);
   if (client->config.take_over == NULL || record.epoch < client->epoch)
     return;
   if ((resigned
@@ -301,8 +302,8 @@
   struct rst_planner_client *client = userdata;
   const struct rst_store_item *item = NULL;
 
-  client->reading = false;
-  client->next_read = client->config.now () + READ_INTERVAL_MS;
+  client->read_pending = false;
+  client->next_read_at = client->config.now () + READ_INTERVAL_MS;
   if (answer->result == RST_RESULT_OK && answer->items->len > 0)
     item = g_ptr_array_index (answer->items, 0);
   if (item != NULL || answer->result == RST_RESULT_ABSENT)
@@ -321,11 +322,11 @@
   if (client->link != 0 && !client->welcomed
       && now - client->connect_started_at > WELCOME_TIMEOUT_MS)
     close_link (client);
-  if (is_connected || client->reading)
+  if (is_connected || client->read_pending)
     return now + IDLE_MS;
-  if (now < client->next_read)
-    return client->next_read;
-  client->reading = true;
+  if (now < client->next_read_at)
+    return client->next_read_at;
+  client->read_pending = true;
   backend->store_get (backend->userdata, RST_PLANNER_RECORD_KEY,
                       on_record_read, client);
   return now + IDLE_MS;
--- a/src/cell/planner_private.h
+++ b/src/cell/planner_private.h
@@ -39,8 +39,8 @@
   RST_RECORD_PROGRESS,
   RST_RECORD_INSTANCE,
   RST_RECORD_QUEUE,
-  RST_RECORD_INSTANCE_OUT,
-  RST_RECORD_JOB_OVER,
+  RST_RECORD_INSTANCE_UNREACHABLE,
+  RST_RECORD_JOB_ENDED,
 };
 
 struct agent
@@ -65,7 +65,7 @@
   guint pass_index;
   struct agent *agent;
   GHashTable *runs;
-  int64_t born;
+  int64_t incarnation;
   /* Lives that this planner has seen; each has a token of its own. */
   int64_t incarnation_count;
   /* The newest life that a token was raised for. */
@@ -151,7 +151,7 @@
 {
   bool rejected;
   char ticket[RST_TOKEN_SIZE];
-  int64_t born;
+  int64_t incarnation;
   rst_ms expires_at;
 };
 
@@ -413,7 +413,7 @@
 
 /* plan_journal.c */
 bool rst_plan_job_has_runs (const struct job *job);
-void rst_plan_mark (struct rst_planner *planner, struct job *job);
+void rst_plan_mark_dirty (struct rst_planner *planner, struct job *job);
 void rst_plan_commit (struct rst_planner *planner);
 void rst_plan_add_segment (struct rst_planner *planner, int64_t segment);
 
--- a/test/cell/store.cc
+++ b/test/cell/store.cc
@@ -65,7 +65,7 @@
            + (draining ? "draining" : "ready")
            + "\",\"capacity\":{\"cpu\":4000,\"mem_mb\":4000,\"gpu\":0},"
              "\"labels\":[\"a\",\"r1\"],\"born\":"
-           + std::to_string (worker.born) + "}");
+           + std::to_string (worker.incarnation) + "}");
 }
 
 bool
--- a/test/cell/workers.cc
+++ b/test/cell/workers.cc
@@ -36,7 +36,7 @@
 Millis
 World::clock (const Worker &worker) const
 {
-  return worker.clock_skew + (now () - worker.born) * 98 / 100;
+  return worker.clock_skew + (now () - worker.incarnation) * 98 / 100;
 }
 
 Worker *
@@ -65,7 +65,7 @@
 World::list (Worker &worker, rst_instance_answer *answer)
 {
   answer->clock_ms = clock (worker);
-  answer->born = worker.born;
+  answer->incarnation = worker.incarnation;
   for (auto &entry : worker.runs)
     add_run (answer, 0, entry.first, entry.second.attempt, 0);
   for (auto &end : worker.ends)
@@ -234,7 +234,7 @@
   rst_instance_answer *answer = rst_instance_answer_new ();
 
   answer->clock_ms = clock (worker);
-  answer->born = worker.born;
+  answer->incarnation = worker.incarnation;
   if (copy.fence < worker.fence)
     {
       answer->result = RST_RESULT_FENCED;
@@ -336,7 +336,7 @@
   worker.ends.clear ();
   at (now () + down_ms, [this, &worker] {
     worker.up = true;
-    worker.born = now ();
+    worker.incarnation = now ();
     worker.lives++;
     worker.fence = 0;
     worker.next_end = 1;
@@ -409,7 +409,7 @@
       lose (700, RST_RESULT_UNKNOWN);
       return;
     }
-  copy.born = worker->born;
+  copy.incarnation = worker->incarnation;
   copy.life = worker->lives;
   if (chance () < faults.late_order)
     {
@@ -425,7 +425,7 @@
   Millis wait = call.wait_ms;
 
   at (now () + 1, [=, this, &node] {
-    if (!worker->up || worker->born != copy.born)
+    if (!worker->up || worker->incarnation != copy.incarnation)
       {
         lose (1, RST_RESULT_UNKNOWN);
         return;
@@ -458,12 +458,12 @@
         return;
       }
     auto answered = std::make_shared<bool> (false);
-    int64_t born = worker->born;
+    int64_t incarnation = worker->incarnation;
     auto wake = [=, this, &node] {
       if (*answered)
         return;
       *answered = true;
-      if (worker->up && worker->born == born)
+      if (worker->up && worker->incarnation == incarnation)
         answer_order (node, *worker, life, number, done, data, true);
       else
         lose (1, RST_RESULT_UNKNOWN);
--- a/test/cell/world.cc
+++ b/test/cell/world.cc
@@ -45,7 +45,7 @@
       worker->id = "i-" + std::to_string (i);
       worker->address = "10.0.0." + std::to_string (i) + ":80";
       worker->zone = zones[i % 3];
-      worker->born = 1 + i;
+      worker->incarnation = 1 + i;
       worker->clock_skew = 100000 * (i + 1);
       workers.push_back (std::move (worker));
     }
--- a/test/cell/world.h
+++ b/test/cell/world.h
@@ -74,7 +74,7 @@
   Millis deadline = 0;
   int64_t last_seen = 0;
   int life = 0;
-  int64_t born = 0;
+  int64_t incarnation = 0;
 };
 
 struct Worker
@@ -85,7 +85,7 @@
   bool up = true;
   bool cut = false;
   int lives = 0;
-  int64_t born = 0;
+  int64_t incarnation = 0;
   int64_t fence = 0;
   int64_t next_end = 1;
   Millis clock_skew = 0;
--- a/test/unit/adapter_test.cc
+++ b/test/unit/adapter_test.cc
@@ -80,7 +80,7 @@
   const rst_run &third = g_array_index (answer->runs, rst_run, 2);
 
   EXPECT_EQ (answer->clock_ms, 9);
-  EXPECT_EQ (answer->born, 4);
+  EXPECT_EQ (answer->incarnation, 4);
   EXPECT_STREQ (first.task, "t1");
   EXPECT_EQ (first.number, 0);
   EXPECT_EQ (first.percent, 41);
--- a/test/unit/agent_test.cc
+++ b/test/unit/agent_test.cc
@@ -11,7 +11,7 @@
 // A look or an order that the agent made and that waits for its answer.
 struct AgentCall
 {
-  bool look;
+  bool is_poll;
   int64_t deadline;
   int64_t last_seen;
   int64_t wait;
@@ -46,7 +46,7 @@
                        rst_instance_done done, void *data) {
       auto *self = static_cast<Agent *> (userdata);
 
-      self->paces.push_back (call->percent);
+      self->pace_percents.push_back (call->percent);
       self->calls.push_back (AgentCall{ false, 0, 0, 0, done, data });
     };
     config.backend = &backend;
@@ -70,15 +70,15 @@
   void
   TearDown () override
   {
-    message (RST_MSG_RELEASE, { "i" }, {});
+    deliver_message (RST_MSG_RELEASE, { "i" }, {});
     while (!calls.empty ())
       answer (RST_RESULT_UNKNOWN);
     rst_agent_destroy (agent);
   }
 
   void
-  message (int kind, const std::vector<std::string> &texts,
-           const std::vector<int64_t> &numbers)
+  deliver_message (int kind, const std::vector<std::string> &texts,
+                   const std::vector<int64_t> &numbers)
   {
     rst_pack pack;
     msgpack_unpacked unpacked;
@@ -97,7 +97,7 @@
 
   // Answers the oldest call; a number above 0 adds an end.
   void
-  answer (rst_result result, int64_t clock = 0, int64_t born = 0,
+  answer (rst_result result, int64_t clock = 0, int64_t incarnation = 0,
           int64_t end = 0)
   {
     AgentCall call = calls.front ();
@@ -107,7 +107,7 @@
     calls.erase (calls.begin ());
     answer->result = result;
     answer->clock_ms = clock;
-    answer->born = born;
+    answer->incarnation = incarnation;
     run.number = end;
     if (end > 0)
       g_array_append_val (answer->runs, run);
@@ -115,21 +115,21 @@
   }
 
   void
-  hold ()
+  hold_instance ()
   {
-    message (RST_MSG_HOLD, { "i", "10.0.0.1:80" }, { 1, 0 });
+    deliver_message (RST_MSG_HOLD, { "i", "10.0.0.1:80" }, { 1, 0 });
   }
 
   rst_backend backend = {};
   rst_agent *agent = nullptr;
   std::vector<AgentCall> calls;
   std::vector<int> kinds;
-  std::vector<int> paces;
+  std::vector<int> pace_percents;
 };
 
 TEST_F (Agent, LooksAtOnceThenWaitsWithALease)
 {
-  hold ();
+  hold_instance ();
   ASSERT_EQ (calls.size (), 1u);
   EXPECT_EQ (calls[0].wait, 0);
   EXPECT_EQ (calls[0].deadline, 0);
@@ -141,21 +141,21 @@
 
 TEST_F (Agent, CarriesThePaceOfARunToAnInstanceThatItHolds)
 {
-  message (RST_MSG_PACE, { "i", "t" }, { 1, 40 });
-  EXPECT_TRUE (paces.empty ());
-  hold ();
+  deliver_message (RST_MSG_PACE, { "i", "t" }, { 1, 40 });
+  EXPECT_TRUE (pace_percents.empty ());
+  hold_instance ();
   answer (RST_RESULT_OK, 5000, 1);
-  message (RST_MSG_PACE, { "i", "t" }, { 1, 40 });
-  ASSERT_EQ (paces.size (), 1u);
-  EXPECT_EQ (paces[0], 40);
+  deliver_message (RST_MSG_PACE, { "i", "t" }, { 1, 40 });
+  ASSERT_EQ (pace_percents.size (), 1u);
+  EXPECT_EQ (pace_percents[0], 40);
 }
 
 TEST_F (Agent, LetsLooksWaitAsLongAsThePlannerSays)
 {
-  hold ();
+  hold_instance ();
   answer (RST_RESULT_OK, 5000, 1);
   EXPECT_EQ (calls[0].wait, 2000);
-  message (RST_MSG_SET_POLL_WAIT, { "i" }, { 500 });
+  deliver_message (RST_MSG_SET_POLL_WAIT, { "i" }, { 500 });
   answer (RST_RESULT_OK, 7000, 1);
   ASSERT_EQ (calls.size (), 1u);
   EXPECT_EQ (calls[0].wait, 500);
@@ -163,10 +163,10 @@
 
 TEST_F (Agent, WaitsForTheStoreBeforeItLooksAgain)
 {
-  hold ();
+  hold_instance ();
   answer (RST_RESULT_OK, 5000, 1, 3);
   EXPECT_TRUE (calls.empty ());
-  message (RST_MSG_ACK, { "i" }, { 3, 1 });
+  deliver_message (RST_MSG_ACK, { "i" }, { 3, 1 });
   ASSERT_EQ (calls.size (), 1u);
   EXPECT_EQ (calls[0].last_seen, 3);
   EXPECT_GT (calls[0].wait, 0);
@@ -174,9 +174,9 @@
 
 TEST_F (Agent, NamesNoEndToALifeThatMayBeAnother)
 {
-  hold ();
+  hold_instance ();
   answer (RST_RESULT_OK, 5000, 1, 3);
-  message (RST_MSG_ACK, { "i" }, { 3, 1 });
+  deliver_message (RST_MSG_ACK, { "i" }, { 3, 1 });
   answer (RST_RESULT_UNKNOWN);
   agent_now += 400;
   rst_agent_run (agent);
@@ -187,18 +187,18 @@
 
 TEST_F (Agent, IgnoresAnAckForTheEndsOfAnotherLife)
 {
-  hold ();
+  hold_instance ();
   answer (RST_RESULT_OK, 5000, 2, 3);
-  message (RST_MSG_ACK, { "i" }, { 3, 1 });
+  deliver_message (RST_MSG_ACK, { "i" }, { 3, 1 });
   EXPECT_TRUE (calls.empty ());
-  message (RST_MSG_ACK, { "i" }, { 3, 2 });
+  deliver_message (RST_MSG_ACK, { "i" }, { 3, 2 });
   ASSERT_EQ (calls.size (), 1u);
   EXPECT_EQ (calls[0].last_seen, 3);
 }
 
 TEST_F (Agent, ExtendsNoLeaseLongAfterTheStoresLastWord)
 {
-  hold ();
+  hold_instance ();
   answer (RST_RESULT_OK, 5000, 1);
   agent_now += 14001;
   answer (RST_RESULT_OK, 19001, 1);
@@ -211,8 +211,8 @@
 
 TEST_F (Agent, StartsNothingBeforeItKnowsTheInstancesClock)
 {
-  hold ();
-  message (RST_MSG_START, { "i", "t" }, { 1 });
+  hold_instance ();
+  deliver_message (RST_MSG_START, { "i", "t" }, { 1 });
   ASSERT_EQ (kinds.size (), 1u);
   EXPECT_EQ (kinds[0], RST_MSG_STARTED);
   EXPECT_EQ (calls.size (), 1u);
@@ -220,8 +220,8 @@
 
 TEST_F (Agent, IgnoresLooksUnderAnEarlierToken)
 {
-  hold ();
-  message (RST_MSG_HOLD, { "i", "10.0.0.1:80" }, { 2, 0 });
+  hold_instance ();
+  deliver_message (RST_MSG_HOLD, { "i", "10.0.0.1:80" }, { 2, 0 });
   ASSERT_EQ (calls.size (), 2u);
   answer (RST_RESULT_OK, 5000, 1);
   EXPECT_TRUE (kinds.empty ());
--- a/test/unit/cell_harness.h
+++ b/test/unit/cell_harness.h
@@ -143,20 +143,20 @@
   // planner raises the token for another life, the agent looks again.
   void
   report (uint64_t link, const std::string &id,
-          const std::vector<rst_run> &runs, int64_t born = 1,
+          const std::vector<rst_run> &runs, int64_t incarnation = 1,
           rst_result result = RST_RESULT_OK, int64_t lease_left = 0)
   {
     int64_t fence = fencing_tokens[id];
 
-    report_once (link, id, runs, born, result, lease_left);
+    report_once (link, id, runs, incarnation, result, lease_left);
     if (fencing_tokens[id] != fence)
-      report_once (link, id, runs, born, result, lease_left);
+      report_once (link, id, runs, incarnation, result, lease_left);
   }
 
   // The same under the token that the agent has now.
   void
   report_once (uint64_t link, const std::string &id,
-               const std::vector<rst_run> &runs, int64_t born = 1,
+               const std::vector<rst_run> &runs, int64_t incarnation = 1,
                rst_result result = RST_RESULT_OK, int64_t lease_left = 0)
   {
     rst_pack pack;
@@ -166,7 +166,7 @@
     rst_pack_text (&pack, id.c_str ());
     rst_pack_int (&pack, result);
     rst_pack_int (&pack, clock);
-    rst_pack_int (&pack, born);
+    rst_pack_int (&pack, incarnation);
     rst_pack_int (&pack, lease_left);
     rst_pack_int (&pack, fencing_tokens[id]);
     rst_pack_array (&pack, runs.size ());
--- a/test/unit/journal_test.cc
+++ b/test/unit/journal_test.cc
@@ -177,7 +177,7 @@
 // Job a has completed long before the change of planner, so that only the
 // short form of its record is left.
 static void
-succeed_after_a_job (Planner &predecessor, Planner &successor, int jobs_since)
+take_over_after_job (Planner &predecessor, Planner &successor, int jobs_since)
 {
   predecessor.start_serving (1);
   predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
@@ -203,7 +203,7 @@
   Planner successor (2);
   Planner third (3);
 
-  succeed_after_a_job (predecessor, successor, 560);
+  take_over_after_job (predecessor, successor, 560);
   successor.report (1, "i-0", {});
   /* Its record is among the oldest again soon after the change. */
   for (int i = 1000; i < 1060; i++)
@@ -226,7 +226,7 @@
   Planner predecessor;
   Planner successor (2);
 
-  succeed_after_a_job (predecessor, successor, 320);
+  take_over_after_job (predecessor, successor, 320);
   successor.call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (successor.reply_to (8)->reply.state, RST_JOB_COMPLETED);
   successor.call (9, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
--- a/test/unit/pace_test.cc
+++ b/test/unit/pace_test.cc
@@ -12,10 +12,10 @@
 
 using harness::Planner;
 
-static const char *const serving = "00000000000000aa";
-static const char *const filling = "00000000000000bb";
-static const std::string serving_task = "00000000000000aa.0.0.0";
-static const std::string filling_task = "00000000000000bb.0.0.0";
+static const char *const long_running_job = "00000000000000aa";
+static const char *const best_effort_job = "00000000000000bb";
+static const std::string long_running_task = "00000000000000aa.0.0.0";
+static const std::string best_effort_task = "00000000000000bb.0.0.0";
 
 TEST (Pace, StopsAtTheBoundHalvesNearItAndReturnsSlowly)
 {
@@ -33,35 +33,35 @@
   void
   SetUp () override
   {
-    rst_jobdesc *serves = Planner::job (1, 1000);
+    rst_jobdesc *long_running = Planner::job (1, 1000);
     rst_jobdesc *best_effort = Planner::job (1, 1000);
 
-    serves->steps[0].long_running = true;
-    serves->steps[0].target_ms = 50;
+    long_running->steps[0].long_running = true;
+    long_running->steps[0].target_ms = 50;
     best_effort->steps[0].best_effort = true;
     cell.start_serving (1);
-    cell.call (7, RST_OPERATION_SUBMIT, serving, serves);
-    cell.call (8, RST_OPERATION_SUBMIT, filling, best_effort);
+    cell.call (7, RST_OPERATION_SUBMIT, long_running_job, long_running);
+    cell.call (8, RST_OPERATION_SUBMIT, best_effort_job, best_effort);
     cell.settle ();
     cell.sent.clear ();
   }
 
-  // What the instance lists; @tail_ms is the serving task's response time.
+  // What the instance lists; @response_ms is the serving task's response time.
   void
-  report (int64_t tail_ms)
+  report (int64_t response_ms)
   {
-    rst_run serves = Planner::running (serving_task, 1);
-    rst_run best_effort = Planner::running (filling_task, 1);
+    rst_run long_running = Planner::running (long_running_task, 1);
+    rst_run best_effort = Planner::running (best_effort_task, 1);
 
-    serves.usage = tail_ms;
-    serves.percent = 100;
+    long_running.usage = response_ms;
+    long_running.percent = 100;
     best_effort.usage = 900;
     cell.advance_time (RST_PACE_INTERVAL_MS);
-    cell.report (1, "i-0", { serves, best_effort });
+    cell.report (1, "i-0", { long_running, best_effort });
   }
 
   int
-  paces () const
+  count_pace_orders () const
   {
     return (int)cell.sent_of_kind (RST_MSG_PACE).size ();
   }
@@ -74,17 +74,17 @@
   report (10);
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_SET_POLL_WAIT).size (), 1u);
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_SET_POLL_WAIT)[0].number, 500);
-  EXPECT_EQ (paces (), 0);
+  EXPECT_EQ (count_pace_orders (), 0);
 }
 
 TEST_F (PacedCell, SlowsWhatFillsWhileItDisturbs)
 {
   report (60);
-  ASSERT_EQ (paces (), 1);
-  EXPECT_EQ (cell.sent_of_kind (RST_MSG_PACE)[0].task, filling_task);
+  ASSERT_EQ (count_pace_orders (), 1);
+  EXPECT_EQ (cell.sent_of_kind (RST_MSG_PACE)[0].task, best_effort_task);
   // The order may have been lost: it is repeated.
   report (60);
-  EXPECT_EQ (paces (), 2);
+  EXPECT_EQ (count_pace_orders (), 2);
 }
 
 TEST_F (PacedCell, DoesNotTakeASlowedRunForAStuckOne)
@@ -99,7 +99,7 @@
   report (60);
   for (int i = 0; i < 10; i++)
     report (10);
-  EXPECT_EQ (paces (), 11);
+  EXPECT_EQ (count_pace_orders (), 11);
   report (10);
-  EXPECT_EQ (paces (), 11);
+  EXPECT_EQ (count_pace_orders (), 11);
 }
--- a/test/unit/planner_client_test.cc
+++ b/test/unit/planner_client_test.cc
@@ -56,7 +56,8 @@
     config.on_heartbeat = [] (void *, rst_ms) {};
     config.take_over = [] (void *userdata, int64_t revision,
                            const rst_planner_record *) {
-      static_cast<PlannerClient *> (userdata)->taken.push_back (revision);
+      static_cast<PlannerClient *> (userdata)->takeover_revisions.push_back (
+          revision);
     };
     config.userdata = this;
     config.role = RST_ROLE_AGENT;
@@ -73,7 +74,8 @@
 
   // Lets time pass and answers each reading of the key.
   void
-  pass (rst_ms length, int64_t revision, int64_t epoch, const char *address)
+  advance_time (rst_ms length, int64_t revision, int64_t epoch,
+                const char *address)
   {
     for (rst_ms end = client_now + length; client_now < end; client_now += 10)
       {
@@ -110,7 +112,8 @@
   }
 
   void
-  frame (int kind, std::vector<int64_t> numbers, const char *text = nullptr)
+  receive_frame (int kind, std::vector<int64_t> numbers,
+                 const char *text = nullptr)
   {
     rst_pack pack;
 
@@ -126,11 +129,11 @@
   }
 
   void
-  link_up (int64_t epoch)
+  connect_client (int64_t epoch)
   {
-    pass (20, 5, epoch, "a:1");
+    advance_time (20, 5, epoch, "a:1");
     rst_planner_client_link_opened (client);
-    frame (RST_MSG_WELCOME, { epoch, 1 });
+    receive_frame (RST_MSG_WELCOME, { epoch, 1 });
   }
 
   rst_backend backend = {};
@@ -140,19 +143,19 @@
   int reads = 0;
   bool serving = false;
   std::vector<std::string> connects;
-  std::vector<int64_t> taken;
+  std::vector<int64_t> takeover_revisions;
 };
 
 TEST_F (PlannerClient, ProposesToTakeAnAbsentKey)
 {
-  pass (20, 0, 0, "");
-  ASSERT_FALSE (taken.empty ());
-  EXPECT_EQ (taken[0], 0);
+  advance_time (20, 0, 0, "");
+  ASSERT_FALSE (takeover_revisions.empty ());
+  EXPECT_EQ (takeover_revisions[0], 0);
 }
 
 TEST_F (PlannerClient, LinksToThePlannerThatTheKeyNames)
 {
-  link_up (3);
+  connect_client (3);
   ASSERT_EQ (connects.size (), 1u);
   EXPECT_EQ (connects[0], "a:1");
   EXPECT_TRUE (serving);
@@ -163,57 +166,57 @@
 {
   for (int64_t revision = 5; revision < 45; revision++)
     {
-      pass (160, revision, 3, "a:1");
+      advance_time (160, revision, 3, "a:1");
       rst_planner_client_link_closed (client);
     }
-  EXPECT_TRUE (taken.empty ());
+  EXPECT_TRUE (takeover_revisions.empty ());
 }
 
 TEST_F (PlannerClient, ReplacesAPlannerWhoseKeyStandsStill)
 {
-  link_up (3);
+  connect_client (3);
   rst_planner_client_link_closed (client);
-  pass (100, 5, 3, "a:1");
-  EXPECT_TRUE (taken.empty ());
-  pass (1500, 5, 3, "a:1");
-  ASSERT_FALSE (taken.empty ());
-  EXPECT_EQ (taken[0], 5);
+  advance_time (100, 5, 3, "a:1");
+  EXPECT_TRUE (takeover_revisions.empty ());
+  advance_time (1500, 5, 3, "a:1");
+  ASSERT_FALSE (takeover_revisions.empty ());
+  EXPECT_EQ (takeover_revisions[0], 5);
 }
 
 TEST_F (PlannerClient, ReplacesAPlannerThatResignedAtOnce)
 {
-  pass (20, 5, 3, "");
-  ASSERT_EQ (taken.size (), 1u);
+  advance_time (20, 5, 3, "");
+  ASSERT_EQ (takeover_revisions.size (), 1u);
 }
 
 TEST_F (PlannerClient, LeavesTheRoleToOthersForAWhileOnASmallMachine)
 {
   create (400);
-  pass (380, 5, 3, "");
-  EXPECT_TRUE (taken.empty ());
-  pass (400, 5, 3, "");
-  EXPECT_FALSE (taken.empty ());
+  advance_time (380, 5, 3, "");
+  EXPECT_TRUE (takeover_revisions.empty ());
+  advance_time (400, 5, 3, "");
+  EXPECT_FALSE (takeover_revisions.empty ());
 }
 
 TEST_F (PlannerClient, LooksAtTheStoreWhenThePlannerHasLostIt)
 {
-  link_up (3);
+  connect_client (3);
   int before = reads;
 
-  pass (300, 5, 3, "a:1");
+  advance_time (300, 5, 3, "a:1");
   EXPECT_EQ (reads, before);
-  frame (RST_MSG_HEARTBEAT, { 1000 });
-  pass (1500, 5, 3, "a:1");
+  receive_frame (RST_MSG_HEARTBEAT, { 1000 });
+  advance_time (1500, 5, 3, "a:1");
   EXPECT_GT (reads, before);
-  EXPECT_FALSE (taken.empty ());
+  EXPECT_FALSE (takeover_revisions.empty ());
 }
 
 TEST_F (PlannerClient, FollowsWordOfALaterPlannerOnly)
 {
-  link_up (3);
-  frame (RST_MSG_REDIRECT, { 2 }, "old:1");
+  connect_client (3);
+  receive_frame (RST_MSG_REDIRECT, { 2 }, "old:1");
   EXPECT_EQ (connects.size (), 1u);
-  frame (RST_MSG_REDIRECT, { 4 }, "new:1");
+  receive_frame (RST_MSG_REDIRECT, { 4 }, "new:1");
   ASSERT_EQ (connects.size (), 2u);
   EXPECT_EQ (connects[1], "new:1");
 }
@@ -222,7 +225,7 @@
 {
   for (int i = 0; i < 100; i++)
     {
-      pass (10, 5, 3, "a:1");
+      advance_time (10, 5, 3, "a:1");
       rst_planner_client_link_closed (client);
     }
   EXPECT_LT (connects.size (), 30u);
--- a/test/unit/planner_test.cc
+++ b/test/unit/planner_test.cc
@@ -71,9 +71,9 @@
   cell.start_serving (2);
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
-  for (int64_t born = 1; born < 5; born++)
+  for (int64_t incarnation = 1; incarnation < 5; incarnation++)
     cell.report (1, "i-0", { Planner::ended (1, task_a0, 1, RST_END_FAILED) },
-                 born);
+                 incarnation);
   cell.settle ();
   cell.call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (cell.reply_to (8)->reply.state, RST_JOB_RUNNING);
