--- a/src/cell/plan_restore.c
+++ b/src/cell/plan_restore.c
@@ -106,7 +106,7 @@
   char *queue;
   char *customer;
   int64_t submitted_ms;
-  bool beyond;
+  bool over_share;
   struct rst_jobdesc *desc;
   struct job *job;
 
@@ -114,7 +114,7 @@
   queue = rst_reader_read_text (in);
   customer = rst_reader_read_text (in);
   submitted_ms = rst_reader_read_int (in);
-  beyond = rst_reader_read_int (in) != 0;
+  over_share = rst_reader_read_int (in) != 0;
   desc = rst_jobdesc_read (in);
   job = g_hash_table_lookup (planner->jobs, id);
   if (desc != NULL && job == NULL)
@@ -125,7 +125,7 @@
   if (desc != NULL)
     {
       job->submitted_ms = submitted_ms;
-      job->over_share = beyond;
+      job->over_share = over_share;
       job->stored = true;
       job->full_record_segment = segment;
       job->last_record_segment = segment;
@@ -251,7 +251,7 @@
                               struct rst_reader *in)
 {
   struct instance *instance = restore_instance_entry (planner, in);
-  int64_t tasks_left = rst_reader_read_int (in) - planner->unix_ms;
+  int64_t lease_left_ms = rst_reader_read_int (in) - planner->unix_ms;
   struct rst_reader rows = rst_reader_read_array (in);
 
   if (instance == NULL)
@@ -261,7 +261,7 @@
   instance->inherited = false;
   instance->lease_expires_at = MIN (
       instance->lease_expires_at,
-      planner->now + MAX (tasks_left, 0) * 102 / 100 + CLOCK_SKEW_MAX_MS);
+      planner->now + MAX (lease_left_ms, 0) * 102 / 100 + CLOCK_SKEW_MAX_MS);
   for (uint32_t i = 0; i < rows.count; i++)
     restore_run (planner, instance, &rows);
   in->bad |= rows.bad;
