--- a/src/cell/agent.h
+++ b/src/cell/agent.h
@@ -1,9 +1,10 @@
 /**
- * DOC: agent - keeps the leases of instances and carries orders to them
+ * DOC: agent - holds instances on behalf of the planner
  *
- * Holds the instances that the planner assigns to it, reports what they list,
- * carries starts and stops, and makes calls for advice.  It goes on extending
- * leases for a bounded time while the planner or the store is away.
+ * An agent extends the leases of the instances that the planner assigns to
+ * it, reports their runs to the planner, forwards orders to start, stop and
+ * pace runs, and makes the calls to the advice service.  While the planner or
+ * the store is unreachable it goes on extending leases for a bounded time.
  */
 #ifndef RST_AGENT_H
 #define RST_AGENT_H
@@ -14,14 +15,15 @@
 struct rst_agent;
 
 /**
- * struct rst_agent_config - How an agent is set up.
- * @backend: Its calls; callbacks arrive on the agent's thread.
+ * struct rst_agent_config - Configuration of an agent.
+ * @backend: Calls to the instances and the advice service; their callbacks
+ *   must run on the agent's thread.
  * @send: Sends a message to the planner.
- * @now: Steady time.
+ * @now: Returns monotonic time.
  * @userdata: Passed to @send.
  * @lease_ms: Length of a lease.
- * @unconfirmed_renewal_ms: How long leases are extended after the store last
- * confirmed the planner.
+ * @unconfirmed_renewal_ms: How long after the store last confirmed the
+ *   planner leases are still extended.
  */
 struct rst_agent_config
 {
@@ -33,27 +35,38 @@
   rst_ms unconfirmed_renewal_ms;
 };
 
-/** rst_agent_create() - An agent that holds nothing. */
+/**
+ * rst_agent_create() - Creates an agent that holds no instance.
+ * @config: Copied.
+ */
 struct rst_agent *rst_agent_create (const struct rst_agent_config *config);
 
-/** rst_agent_destroy() - Frees an agent without calls under way. */
+/**
+ * rst_agent_destroy() - Frees an agent; NULL is ignored.
+ *
+ * No call to the backend may be pending.
+ */
 void rst_agent_destroy (struct rst_agent *agent);
 
 /**
- * rst_agent_handle_message() - A message of the planner.
- * @kind: Its kind.
- * @reader: At the member behind the kind.
+ * rst_agent_handle_message() - Handles a message from the planner.
+ * @kind: Kind of the message.
+ * @reader: Positioned behind the kind.
  */
 void rst_agent_handle_message (struct rst_agent *agent, int kind,
                                struct rst_reader *reader);
 
 /**
- * rst_agent_handle_heartbeat() - The planner was heard.
- * @store_age_ms: Time since the store last confirmed it.
+ * rst_agent_handle_heartbeat() - Handles a heartbeat from the planner.
+ * @store_age_ms: Time since the store last confirmed the planner.
  */
 void rst_agent_handle_heartbeat (struct rst_agent *agent, rst_ms store_age_ms);
 
-/** rst_agent_run() - Does what is due; returns when it wants to be called. */
+/**
+ * rst_agent_run() - Polls the instances whose next poll is due.
+ *
+ * Return: Time at which to call it again.
+ */
 rst_ms rst_agent_run (struct rst_agent *agent);
 
 #endif
--- a/src/cell/backend.h
+++ b/src/cell/backend.h
@@ -1,10 +1,10 @@
 /**
- * DOC: backend - the outside systems behind one table of function pointers
+ * DOC: backend - interface to the store, the instances and the advice service
  *
- * The store, the instances and the advice service as this product sees them.
- * An adapter fills the table; nothing else knows how they are spoken to.
- * Each call takes a callback that is called exactly once, on a thread of the
- * adapter's, with an answer that the callback then owns.
+ * An adapter implements the calls of struct rst_backend; only the adapter
+ * knows the protocols behind them.  Each call takes a callback, which is
+ * called exactly once, on a thread of the adapter, and which then owns the
+ * answer.
  */
 #ifndef RST_BACKEND_H
 #define RST_BACKEND_H
@@ -17,30 +17,34 @@
 
 #include "cell/jobdesc.h"
 
-/** Bound on an instance's id, its zone, its rack, with the final NUL. */
+/** Size of an instance's id, its zone or its rack, with the final NUL. */
 #define RST_ID_SIZE 64
 
-/** Bound on a task's name, with the final NUL. */
+/** Size of a task's name, with the final NUL. */
 #define RST_TASK_NAME_SIZE 64
 
-/** Bound on a checkpoint or an advice ticket, with the final NUL. */
+/** Size of a checkpoint or of an advice ticket, with the final NUL. */
 #define RST_TOKEN_SIZE 64
 
 /**
- * enum rst_result - How a call to an outside system ended.
- * @RST_RESULT_OK: Done.
- * @RST_RESULT_ABSENT: What it names is not there.
- * @RST_RESULT_CONFLICT: A condition did not hold; nothing was done.
- * @RST_RESULT_REJECTED: It was turned away; nothing was done.
- * @RST_RESULT_COMPACTED: The history asked for is no longer kept.
- * @RST_RESULT_NOT_SENT: It never left this process.
- * @RST_RESULT_OTHER_INCARNATION: The instance was born anew; nothing was done.
- * @RST_RESULT_FENCED: The instance has seen a higher token.
- * @RST_RESULT_STALE_ATTEMPT: The instance has seen a run as high or higher.
- * @RST_RESULT_LEASE_EXPIRED: The lease given had run out on arrival.
- * @RST_RESULT_NO_ROOM: The instance has no room.
+ * enum rst_result - Result of a call to an outside system.
+ * @RST_RESULT_OK: The call succeeded.
+ * @RST_RESULT_ABSENT: The object that the call names does not exist.
+ * @RST_RESULT_CONFLICT: A condition of the call did not hold; it had no
+ *   effect.
+ * @RST_RESULT_REJECTED: The call was rejected and had no effect.
+ * @RST_RESULT_COMPACTED: The store no longer has the requested history.
+ * @RST_RESULT_NOT_SENT: The call was never sent.
+ * @RST_RESULT_OTHER_INCARNATION: The instance has restarted since the call
+ *   was made; the call had no effect.
+ * @RST_RESULT_FENCED: The instance has seen a higher fencing token.
+ * @RST_RESULT_STALE_ATTEMPT: The instance has seen the same or a higher
+ *   attempt of the task.
+ * @RST_RESULT_LEASE_EXPIRED: The lease in the call had expired on arrival.
+ * @RST_RESULT_NO_ROOM: The instance lacks the resources.
  * @RST_RESULT_NO_TICKET: The advice ticket is missing or not valid.
- * @RST_RESULT_UNKNOWN: No usable answer; it may be done, now or later.
+ * @RST_RESULT_UNKNOWN: No usable answer came; the call may have taken effect
+ *   or may still do so.
  */
 enum rst_result
 {
@@ -59,16 +63,16 @@
   RST_RESULT_UNKNOWN,
 };
 
-/** rst_result_name() - A short name for logs. */
+/** rst_result_name() - Returns the static name of a result for log fields. */
 const char *rst_result_name (enum rst_result result);
 
 /**
- * struct rst_store_item - A key of the store.
+ * struct rst_store_item - A key of the store, or a change of one.
  * @key: The key.
- * @value: Its bytes, NULL when @deleted.
- * @length: Their number.
+ * @value: Its value; NULL when @deleted.
+ * @length: Length of @value in bytes.
  * @revision: Revision of its last change.
- * @deleted: Whether it was removed.
+ * @deleted: Whether the key was deleted.
  */
 struct rst_store_item
 {
@@ -80,11 +84,11 @@
 };
 
 /**
- * struct rst_store_answer - What the store said.
- * @result: How the call ended.
- * @items: struct rst_store_item, in the store's order.
- * @revision: The store's revision; of a transaction, that of its changes.
- * @has_more: Whether a further page follows the last item.
+ * struct rst_store_answer - Answer of the store.
+ * @result: Result of the call.
+ * @items: Elements of type struct rst_store_item *, in the store's order.
+ * @revision: Revision of the store; for a transaction, that of its changes.
+ * @has_more: Whether another page follows the last item.
  */
 struct rst_store_answer
 {
@@ -94,19 +98,20 @@
   bool has_more;
 };
 
-/** rst_store_answer_new() - An empty answer. */
+/** rst_store_answer_new() - Creates an answer without items. */
 struct rst_store_answer *rst_store_answer_new (void);
 
-/** rst_store_answer_free() - Frees an answer. */
+/** rst_store_answer_free() - Frees an answer and its items. */
 void rst_store_answer_free (struct rst_store_answer *answer);
 
 /**
- * struct rst_store_write - One entry of a transaction.
+ * struct rst_store_write - One key of a transaction.
  * @key: The key.
- * @value: New bytes, or NULL for no write.
- * @length: Their number.
- * @expected: Revision that the key must have; 0 for absent, -1 for any.
- * @remove: Whether the key is removed.
+ * @value: New value; NULL leaves the value as it is.
+ * @length: Length of @value in bytes.
+ * @expected: Revision that the key must have; 0 when it must not exist, -1
+ *   for no condition.
+ * @remove: Whether to delete the key.
  */
 struct rst_store_write
 {
@@ -118,15 +123,16 @@
 };
 
 /**
- * struct rst_run - A run that an instance lists.
- * @number: Number of its end; 0 while it runs.
- * @task: The task's name.
- * @attempt: The run's number.
- * @end_reason: How it ended; a value of enum rst_end.
+ * struct rst_run - A run that an instance lists as running or ended.
+ * @number: Sequence number of the run's end; 0 while it runs.
+ * @task: Name of the task.
+ * @attempt: Attempt of the task that this run is.
+ * @end_reason: Why the run ended; a value of enum rst_end.
  * @checkpoint: Last checkpoint, or "".
- * @percent: Progress while it runs.
- * @usage: Over the last half second while it runs: response time of a run
- *   that serves, in milliseconds; processors of any other, in thousandths.
+ * @percent: Progress of a run that has not ended.
+ * @usage: Measured over the last half second of a run that has not ended:
+ *   the response time of a long-running task in milliseconds; the processor
+ *   use of any other task in thousandths of a core.
  */
 struct rst_run
 {
@@ -140,13 +146,13 @@
 };
 
 /**
- * enum rst_end - How a run ended.
- * @RST_END_DONE: Its work is complete.
- * @RST_END_FAILED: It failed.
- * @RST_END_STOPPED: It was stopped.
- * @RST_END_LEASE_EXPIRED: Its lease ran out.
+ * enum rst_end - Why a run ended.
+ * @RST_END_DONE: The task is complete.
+ * @RST_END_FAILED: The task failed.
+ * @RST_END_STOPPED: The run was stopped by an order.
+ * @RST_END_LEASE_EXPIRED: The lease of its instance expired.
  * @RST_END_GANG_BROKEN: Another member of its gang ended.
- * @RST_END_GANG_INCOMPLETE: The other members of its gang did not come.
+ * @RST_END_GANG_INCOMPLETE: The other members of its gang did not start.
  */
 enum rst_end
 {
@@ -159,11 +165,13 @@
 };
 
 /**
- * struct rst_instance_answer - What an instance said.
- * @result: How the call ended.
- * @clock_ms: The instance's own steady clock.
- * @incarnation: Unix time of its start; 0 when it did not say.
- * @runs: struct rst_run; those that run, then those that ended.
+ * struct rst_instance_answer - Answer of an instance.
+ * @result: Result of the call.
+ * @clock_ms: Monotonic clock of the instance; 0 when unknown.
+ * @incarnation: Start of the instance in Unix time, which identifies its
+ *   incarnation; 0 when unknown.
+ * @runs: Elements of type struct rst_run: first those that run, then those
+ *   that have ended.
  */
 struct rst_instance_answer
 {
@@ -173,27 +181,29 @@
   GArray *runs;
 };
 
-/** rst_instance_answer_new() - An empty answer. */
+/** rst_instance_answer_new() - Creates an answer without runs. */
 struct rst_instance_answer *rst_instance_answer_new (void);
 
-/** rst_instance_answer_free() - Frees an answer. */
+/** rst_instance_answer_free() - Frees an answer and its runs. */
 void rst_instance_answer_free (struct rst_instance_answer *answer);
 
 /**
- * struct rst_instance_call - An order to an instance or a look at it.
- * @id: The instance's id.
+ * struct rst_instance_call - An order to an instance, or a poll of its runs.
+ * @id: Id of the instance.
  * @address: Its address.
- * @fence: The caller's fencing token.
- * @task: The task's name; unused for a look.
- * @attempt: Number of the run.
- * @spec: Text for the task.
- * @checkpoint: Where to go on, or "".
+ * @fence: Fencing token of the caller.
+ * @task: Name of the task; NULL in a poll.
+ * @attempt: Attempt of the task.
+ * @spec: Text that the task receives.
+ * @checkpoint: Checkpoint from which the task goes on, or "".
  * @ticket: Advice ticket, or "".
- * @deadline_ms: End of the lease on the instance's clock; 0 to leave it.
- * @last_seen: Ends up to this number are stored and may be forgotten.
- * @wait_ms: How long a look may wait for an end.
- * @has_percent: Whether @percent is meant.
- * @percent: The share of its full pace at which a run may work.
+ * @deadline_ms: Expiry of the lease on the instance's clock; 0 leaves the
+ *   lease as it is.
+ * @last_seen: Ends up to this number are stored, so the instance may forget
+ *   them.
+ * @wait_ms: How long a poll may wait for a run to end.
+ * @has_percent: Whether @percent is set.
+ * @percent: Pace of the run, in percent of full speed.
  */
 struct rst_instance_call
 {
@@ -213,9 +223,9 @@
 };
 
 /**
- * struct rst_ticket - Leave to run a step on one instance.
- * @id: The instance's id.
- * @ticket: What a start must carry.
+ * struct rst_ticket - Approval to run a step on an instance.
+ * @id: Id of the instance.
+ * @ticket: Ticket that the start of a task there must carry.
  */
 struct rst_ticket
 {
@@ -224,9 +234,10 @@
 };
 
 /**
- * struct rst_advice_answer - What the advice service said.
- * @result: How the call ended.
- * @tickets: struct rst_ticket for each instance that may run the step.
+ * struct rst_advice_answer - Answer of the advice service.
+ * @result: Result of the call.
+ * @tickets: Elements of type struct rst_ticket, one for each instance that
+ *   may run the step.
  */
 struct rst_advice_answer
 {
@@ -234,10 +245,10 @@
   GArray *tickets;
 };
 
-/** rst_advice_answer_new() - An empty answer. */
+/** rst_advice_answer_new() - Creates an answer without tickets. */
 struct rst_advice_answer *rst_advice_answer_new (void);
 
-/** rst_advice_answer_free() - Frees an answer. */
+/** rst_advice_answer_free() - Frees an answer and its tickets. */
 void rst_advice_answer_free (struct rst_advice_answer *answer);
 
 typedef void (*rst_store_done) (struct rst_store_answer *answer,
@@ -248,17 +259,19 @@
                                  void *userdata);
 
 /**
- * struct rst_backend - The table of calls.
+ * struct rst_backend - Calls to the outside systems.
  * @store_get: Reads one key.
- * @store_range: Reads a page of the keys with a prefix, those behind @after.
- * @store_watch: Waits for changes behind a revision.
- * @store_commit: Changes keys all or none.
- * @hold: Looks at an instance and extends its lease.
+ * @store_range: Reads a page of the keys that have a prefix and sort behind
+ *   @after.
+ * @store_watch: Waits up to @wait_ms for changes later than a revision.
+ * @store_commit: Applies all writes of a transaction, or none.
+ * @hold: Long-polls an instance for its runs and extends its lease.
  * @start: Starts a run.
- * @stop: Stops a run, present or still to come.
- * @pace: Sets how fast a run may work.
- * @advise: Asks which of @ids may run a step.
- * @userdata: Passed to each.
+ * @stop: Stops a run, or keeps it from starting if its start is still to
+ *   come.
+ * @pace: Limits the speed of a run.
+ * @advise: Requests approval to run a step on the instances @ids.
+ * @userdata: Passed to each call.
  */
 struct rst_backend
 {
--- a/src/cell/cellconfig.h
+++ b/src/cell/cellconfig.h
@@ -1,9 +1,8 @@
 /**
- * DOC: cellconfig - what the operators set and what instances say of
- * themselves
+ * DOC: cellconfig - configuration of queues, customers and instances
  *
- * Queues with their objectives, customers with keys, shares and upper
- * limits, and the entries under which instances register.
+ * Operators configure queues with their objectives, and customers with their
+ * API keys, shares and upper limits.  Each instance registers with an entry.
  */
 #ifndef RST_CELLCONFIG_H
 #define RST_CELLCONFIG_H
@@ -11,20 +10,22 @@
 #include "cell/backend.h"
 
 /**
- * struct rst_queue - A queue that callers hand jobs in to.
+ * struct rst_queue - A queue to which callers submit jobs.
  * @name: Its name.
- * @host: Host that selects it.
+ * @host: Host that selects it; "" for any.
  * @prefix: Path prefix that selects it.
- * @pool: Name of the pool of instances that run its tasks.
- * @priority: 0 comes first.
- * @max_failures: Failed runs of one task after which the job has failed.
- * @slack: Objective as a multiple of the job's chain of work, in thousandths.
- * @target_ms: Added to the objective.
- * @is_public: No key is needed.
- * @needs_approval: Only instances named by the advice service may run a step.
- * @advice_ms: Time of one call for advice.
- * @advice_per_instance_us: Further time for each instance named, in
- * microseconds.
+ * @pool: Pool of instances that run its tasks.
+ * @priority: Priority; 0 is the highest.
+ * @max_failures: Number of failed runs of one task at which its job fails.
+ * @slack: Factor of the objective: the objective of a job is its critical
+ *   path times this, in thousandths, plus @target_ms.
+ * @target_ms: Constant part of the objective.
+ * @is_public: Whether jobs are accepted without a key.
+ * @needs_approval: Whether a step may run only on instances that the advice
+ *   service has approved.
+ * @advice_ms: Duration of an advice request.
+ * @advice_per_instance_us: Further duration of an advice request for each
+ *   instance named in it, in microseconds.
  * @advice_valid_ms: How long a ticket is valid.
  */
 struct rst_queue
@@ -47,8 +48,10 @@
 /**
  * struct rst_customer - A customer.
  * @name: Its name.
- * @weight: Its share when all is full, also its owed jobs a second.
- * @limit: What it may have running; 0 means no limit.
+ * @weight: Its share under contention: the number of jobs per second that it
+ *   may submit before further ones count as over share.
+ * @limit: Upper limit on the resources of its running tasks; a member of 0
+ *   means no limit.
  */
 struct rst_customer
 {
@@ -58,11 +61,11 @@
 };
 
 /**
- * struct rst_cellconfig - The operators' configuration.
+ * struct rst_cellconfig - Configuration set by the operators.
  * @version: Its version.
- * @queues: struct rst_queue pointers.
- * @customers: struct rst_customer pointers.
- * @keys: Key to struct rst_customer.
+ * @queues: Elements of type struct rst_queue *, owned.
+ * @customers: Elements of type struct rst_customer *, owned.
+ * @keys: Maps an API key to a struct rst_customer * of @customers.
  */
 struct rst_cellconfig
 {
@@ -72,39 +75,42 @@
   GHashTable *keys;
 };
 
-/** rst_cellconfig_create() - An empty configuration. */
+/** rst_cellconfig_create() - Creates an empty configuration. */
 struct rst_cellconfig *rst_cellconfig_create (void);
 
-/** rst_cellconfig_destroy() - Frees a configuration, or ignores NULL. */
+/** rst_cellconfig_destroy() - Frees a configuration; NULL is ignored. */
 void rst_cellconfig_destroy (struct rst_cellconfig *config);
 
 /**
  * rst_cellconfig_route() - Finds the queue for a host and a path.
- * @rest: Receives what follows the prefix.
+ * @rest: Set to the part of the path behind the queue's prefix; unchanged
+ *   when there is no queue.
  *
- * Return: The queue with the longest prefix, or NULL.
+ * Return: The matching queue with the longest prefix, or NULL.
  */
 const struct rst_queue *
 rst_cellconfig_route (const struct rst_cellconfig *config, const char *host,
                       const char *path, const char **rest);
 
-/** rst_cellconfig_find_queue() - Finds a queue by its name, or returns NULL.
+/**
+ * rst_cellconfig_find_queue() - Finds a queue by its name, or returns NULL.
  */
 const struct rst_queue *
 rst_cellconfig_find_queue (const struct rst_cellconfig *config,
                            const char *name);
 
 /**
- * struct rst_instance_entry - How an instance registered.
+ * struct rst_instance_entry - Entry under which an instance is registered.
  * @id: Its id.
- * @address: Where it takes orders.
+ * @address: Address on which it takes orders.
  * @zone: Its availability zone.
- * @pool: The pool that it belongs to.
- * @labels: Its labels.
- * @rack: Its rack, one of the labels, or "".
- * @capacity: All that it has.
- * @draining: It leaves and takes no new work.
- * @incarnation: Unix time of its start; 0 when it did not say.
+ * @pool: Pool to which it belongs.
+ * @labels: Its labels, each between commas: ",a,r1-3,".
+ * @rack: Its rack, which is one of the labels, or "".
+ * @capacity: Its total resources.
+ * @draining: Whether it is about to leave and takes no new runs.
+ * @incarnation: Start of the instance in Unix time, which identifies its
+ *   incarnation; 0 when unknown.
  */
 struct rst_instance_entry
 {
--- a/src/cell/fault_private.h
+++ b/src/cell/fault_private.h
@@ -1,27 +1,33 @@
 /**
  * DOC: fault_private - deliberate faults of the cell for the test build
  *
- * The oracle of the cell's fuzzer must be shown to catch a breach of each
- * rule.  In the test build rst_cell_fault picks one fault; elsewhere
- * RST_CELL_FAULT() is false.
+ * They show that the oracle of the cell's fuzzer detects a violation of each
+ * property.  In the test build rst_cell_fault selects a fault; in any other
+ * build RST_CELL_FAULT() is false.
  */
 #ifndef RST_CELL_FAULT_PRIVATE_H
 #define RST_CELL_FAULT_PRIVATE_H
 
 /**
- * enum rst_cell_fault_kind - The faults, numbered as cell-fuzz takes them.
- * @RST_CELL_FAULT_NONE: None.
- * @RST_CELL_FAULT_EARLY_RESTART: An unanswered start is tried elsewhere.
- * @RST_CELL_FAULT_EARLY_ACK: Ends are let go before they are stored.
- * @RST_CELL_FAULT_IGNORE_CAPACITY: Room in use is not counted.
- * @RST_CELL_FAULT_IGNORE_STEP_ORDER: Steps do not wait for those before them.
- * @RST_CELL_FAULT_IGNORE_FAILURES: Failed runs do not end a job.
- * @RST_CELL_FAULT_IGNORE_CANCEL: A cancelled job's tasks go on starting.
+ * enum rst_cell_fault_kind - Faults, numbered as cell-fuzz takes them.
+ * @RST_CELL_FAULT_NONE: No fault.
+ * @RST_CELL_FAULT_EARLY_RESTART: A task whose start got no answer is started
+ *   elsewhere at once.
+ * @RST_CELL_FAULT_EARLY_ACK: The end of a run is acknowledged before it is
+ *   stored.
+ * @RST_CELL_FAULT_IGNORE_CAPACITY: Resources in use on an instance are not
+ *   counted.
+ * @RST_CELL_FAULT_IGNORE_STEP_ORDER: A step does not wait for the steps
+ *   before it.
+ * @RST_CELL_FAULT_IGNORE_FAILURES: Failed runs of a task do not fail its job.
+ * @RST_CELL_FAULT_IGNORE_CANCEL: Tasks of a cancelled job are still started.
  * @RST_CELL_FAULT_EARLY_ACCEPT: A job is accepted before it is stored.
  * @RST_CELL_FAULT_EARLY_COMPLETION: A job completes with its first step.
- * @RST_CELL_FAULT_NO_TAKEOVER_WAIT: A successor does not wait for instances.
- * @RST_CELL_FAULT_IGNORE_LIMIT: Customers' upper limits do not count.
- * @RST_CELL_FAULT_SHARED_TOKEN: All lives of an instance share a token.
+ * @RST_CELL_FAULT_NO_TAKEOVER_WAIT: A new planner does not wait for the
+ *   instances of its predecessor.
+ * @RST_CELL_FAULT_IGNORE_LIMIT: Upper limits of customers are ignored.
+ * @RST_CELL_FAULT_SHARED_TOKEN: All incarnations of an instance have the same
+ *   fencing token.
  */
 enum rst_cell_fault_kind
 {
--- a/src/cell/jobdesc.h
+++ b/src/cell/jobdesc.h
@@ -1,8 +1,8 @@
 /**
- * DOC: jobdesc - what a caller asks for with a job
+ * DOC: jobdesc - description of a job
  *
- * A job is a list of steps; a step is a number of equal tasks.  A
- * description never changes after the job was accepted.
+ * A job is a list of steps; a step is a number of equal tasks.  The
+ * description of a job does not change once the job is accepted.
  */
 #ifndef RST_JOBDESC_H
 #define RST_JOBDESC_H
@@ -13,20 +13,20 @@
 #include "cell/pack.h"
 #include "rosemarystile.h"
 
-/** Bound on a job's steps. */
+/** Largest number of steps of a job. */
 #define RST_STEPS_MAX 64
 
-/** Bound on a step's tasks. */
+/** Largest number of tasks of a step. */
 #define RST_TASKS_MAX 10000
 
-/** Bound on the text handed to a job's tasks, in bytes. */
+/** Largest length of the text that a job's tasks receive. */
 #define RST_SPEC_BYTES_MAX 4000
 
 /**
- * struct rst_resources - Processors, memory and accelerators.
- * @cpu: Thousandths of a core.
- * @memory: MiB.
- * @gpu: Accelerators.
+ * struct rst_resources - An amount of each resource.
+ * @cpu: Processors, in thousandths of a core.
+ * @memory: Memory, in MiB.
+ * @gpu: Number of accelerators.
  */
 struct rst_resources
 {
@@ -36,25 +36,27 @@
 };
 
 /**
- * struct rst_step - What one step asks for.
+ * struct rst_step - Description of a step.
  * @count: Number of tasks.
- * @need: What one task takes.
- * @estimate_ms: Rough run time of a task.
- * @after: Numbers of the steps that must be done first.
- * @after_count: Their number.
- * @gang: All tasks run together or none.
- * @prefers_one_rack: The tasks are faster on a single rack.
- * @has_checkpoints: A task saves its progress.
- * @speculative: Several runs of a task may go on at once.
- * @long_running: The tasks run until the job is cancelled.
- * @best_effort: The step's processors are not counted.
- * @max_per_instance: Bound on its tasks on one instance; 0 for none.
- * @max_unavailable: Tasks that orders may make unavailable at once; 0 for
- * none.
- * @target_ms: Bound on the response times of lasting tasks; 0 for none.
+ * @need: Resources that one task needs.
+ * @estimate_ms: Caller's estimate of a task's run time.
+ * @after: Indexes of the steps that must be done before this one starts.
+ * @after_count: Length of @after.
+ * @gang: Whether the tasks must all run at the same time.
+ * @prefers_one_rack: Whether the tasks run faster on a single rack.
+ * @has_checkpoints: Whether a task can go on from a checkpoint.
+ * @speculative: Whether a task may have several runs at the same time.
+ * @long_running: Whether the tasks run until the job is cancelled.
+ * @best_effort: Whether the tasks use only spare processors, which are then
+ *   not counted.
+ * @max_per_instance: Largest number of tasks on one instance; 0 for no limit.
+ * @max_unavailable: Largest number of tasks that orders may make unavailable
+ *   at once; 0 for no limit.
+ * @target_ms: Response time that the long-running tasks are to stay below; 0
+ *   for none.
  * @label: Label that an instance must have, or "".
- * @rack: Rack of the data, or "".
- * @image: What the tasks run, or "".
+ * @rack: Rack on which the data is stored, or "".
+ * @image: Image that the tasks run, or "".
  */
 struct rst_step
 {
@@ -78,13 +80,14 @@
 };
 
 /**
- * struct rst_jobdesc - A job as handed in.
- * @spec: Text handed to each task.
+ * struct rst_jobdesc - Description of a job.
+ * @spec: Text that each task receives.
  * @steps: The steps.
- * @step_count: Their number.
- * @repeats: How many times the steps run; 0 means once, at once.
+ * @step_count: Length of @steps.
+ * @repeats: Number of occurrences of a repeating job; 0 for a job that runs
+ *   once, without delay.
  * @start_at_ms: Unix time of the first occurrence.
- * @period_ms: Time between occurrences.
+ * @period_ms: Time between the starts of two occurrences.
  */
 struct rst_jobdesc
 {
@@ -96,34 +99,44 @@
   int64_t period_ms;
 };
 
-/** rst_resources_add() - Adds @need to @sum, @times times; may be negative. */
+/**
+ * rst_resources_add() - Adds a multiple of an amount.
+ * @sum: Amount to change.
+ * @need: Amount to add.
+ * @times: Factor of @need; a negative one subtracts.
+ */
 void rst_resources_add (struct rst_resources *sum,
                         const struct rst_resources *need, int64_t times);
 
-/** rst_step_get_task_need() - What a task of the step takes of an instance's
- * room. */
+/**
+ * rst_step_get_task_need() - Returns the resources that a task reserves.
+ *
+ * A best-effort task reserves no processors.
+ */
 struct rst_resources rst_step_get_task_need (const struct rst_step *step);
 
-/** rst_jobdesc_create() - An empty description with @steps steps. */
+/** rst_jobdesc_create() - Creates a description with @steps empty steps. */
 struct rst_jobdesc *rst_jobdesc_create (int steps);
 
-/** rst_jobdesc_destroy() - Frees a description, or does nothing for NULL. */
+/** rst_jobdesc_destroy() - Frees a description; NULL is ignored. */
 void rst_jobdesc_destroy (struct rst_jobdesc *desc);
 
 /**
- * rst_jobdesc_check() - Finds what makes a description unusable.
+ * rst_jobdesc_check() - Checks a description.
  *
- * Return: NULL, or a static sentence that names the field.
+ * Return: NULL when it is valid, else a static text that names the field and
+ * what is wrong with it.
  */
 const char *rst_jobdesc_check (const struct rst_jobdesc *desc);
 
-/** rst_jobdesc_pack() - Writes a description as one array. */
+/** rst_jobdesc_pack() - Encodes a description as one array. */
 void rst_jobdesc_pack (struct rst_pack *pack, const struct rst_jobdesc *desc);
 
 /**
- * rst_jobdesc_read() - Reads a description.
+ * rst_jobdesc_read() - Decodes and checks a description.
  *
- * Return: The description, or NULL when the bytes are not one.
+ * Return: The description, or NULL, with the reader marked as bad, when it is
+ * malformed or not valid.
  */
 struct rst_jobdesc *rst_jobdesc_read (struct rst_reader *reader);
 
--- a/src/cell/messages.h
+++ b/src/cell/messages.h
@@ -1,35 +1,43 @@
 /**
- * DOC: messages - kinds of messages between the system's own processes
+ * DOC: messages - messages between the processes of a cell
  *
- * Each message is a msgpack array whose first member is its kind; the other
- * members are listed behind it.
+ * Each message is a msgpack array.  Its first member is its kind; the
+ * documentation of a kind lists the members that follow.
  */
 #ifndef RST_MESSAGES_H
 #define RST_MESSAGES_H
 
 /**
  * enum rst_msg_kind - Kinds of messages.
- * @RST_MSG_HELLO: role, name, zone; first on each link.
- * @RST_MSG_WELCOME: epoch, serving (0 or 1); answers a hello and follows
- *   each change.
- * @RST_MSG_REDIRECT: epoch, address; another process is the planner now.
- * @RST_MSG_HOLD: id, address, fence, last seen; begin to hold an instance.
- * @RST_MSG_RELEASE: id; another agent holds it now.
- * @RST_MSG_START: id, task, attempt, spec, checkpoint, ticket.
- * @RST_MSG_STOP: id, task, attempt.
- * @RST_MSG_ACK: id, number of the last stored end, birth of the life that
- *   numbered it.
- * @RST_MSG_PACE: id, task, attempt, hundredths; how fast a run may work.
- * @RST_MSG_SET_POLL_WAIT: id, milliseconds; how long looks may wait for an
- * end.
- * @RST_MSG_ADVISE: handle, step, ids.
- * @RST_MSG_REPORT: id, result, clock, birth, lease left, fence, runs.
- * @RST_MSG_STARTED: id, task, attempt, result, clock.
- * @RST_MSG_STOPPED: id, task, attempt, result, clock.
- * @RST_MSG_ADVICE: handle, result, rows of id and ticket.
- * @RST_MSG_CALL: number, operation, host, path, key, description.
- * @RST_MSG_REPLY: number, outcome, state, count, seconds to wait.
- * @RST_MSG_HEARTBEAT: milliseconds since the store last confirmed the planner.
+ * @RST_MSG_HELLO: To the planner: role, name, zone.  The first message on a
+ *   link.
+ * @RST_MSG_WELCOME: From the planner: epoch, serving (0 or 1).  Sent in reply
+ *   to a hello and whenever a member changes.
+ * @RST_MSG_REDIRECT: Epoch, address.  Another process is the planner now.
+ * @RST_MSG_HOLD: To an agent: instance, address, fencing token, number of the
+ *   last stored end.  The agent is to hold the instance.
+ * @RST_MSG_RELEASE: To an agent: instance.  Another agent holds it now.
+ * @RST_MSG_START: To an agent: instance, task, attempt, spec, checkpoint,
+ *   ticket.
+ * @RST_MSG_STOP: To an agent: instance, task, attempt.
+ * @RST_MSG_ACK: To an agent: instance, number of the last stored end,
+ *   incarnation that numbered it.
+ * @RST_MSG_ADVISE: To an agent: handle, step, instances.  Requests advice.
+ * @RST_MSG_REPORT: To the planner: instance, result, clock, incarnation,
+ *   milliseconds until the lease expires, fencing token, runs.
+ * @RST_MSG_STARTED: To the planner: instance, task, attempt, result, clock.
+ * @RST_MSG_STOPPED: To the planner: instance, task, attempt, result, clock.
+ * @RST_MSG_ADVICE: To the planner: handle, result, rows of instance and
+ *   ticket.
+ * @RST_MSG_CALL: To the planner: number, operation, host, path, key,
+ *   description.  A caller's request.
+ * @RST_MSG_REPLY: From the planner: number of the call, outcome, state, count,
+ *   seconds after which to retry.
+ * @RST_MSG_HEARTBEAT: From the planner: milliseconds since the store last
+ *   confirmed it.
+ * @RST_MSG_PACE: To an agent: instance, task, attempt, percent of full speed.
+ * @RST_MSG_SET_POLL_WAIT: To an agent: instance, milliseconds that its polls
+ *   may wait for a run to end.
  */
 enum rst_msg_kind
 {
@@ -54,9 +62,9 @@
 };
 
 /**
- * enum rst_role - Who is at the other end of a link.
- * @RST_ROLE_AGENT: Holds instances and asks for advice.
- * @RST_ROLE_ENTRY: Takes callers' requests.
+ * enum rst_role - Role of the process that opened a link.
+ * @RST_ROLE_AGENT: Agent: holds instances and requests advice.
+ * @RST_ROLE_ENTRY: Entry: accepts callers' requests.
  */
 enum rst_role
 {
@@ -65,9 +73,10 @@
 };
 
 /**
- * enum rst_operation - What a caller wants.
- * @RST_OPERATION_SUBMIT: Hand a job in.
- * @RST_OPERATION_READ: A job's state, or a queue's count.
+ * enum rst_operation - Operations of callers.
+ * @RST_OPERATION_SUBMIT: Submit a job.
+ * @RST_OPERATION_READ: Read the state of a job, or the number of jobs that
+ *   wait in a queue.
  * @RST_OPERATION_CANCEL: Cancel a job.
  */
 enum rst_operation
@@ -78,16 +87,16 @@
 };
 
 /**
- * enum rst_outcome - What a caller is told.
- * @RST_OUTCOME_OK: Done.
- * @RST_OUTCOME_STATE: The state of a job.
- * @RST_OUTCOME_COUNT: A queue's waiting jobs.
- * @RST_OUTCOME_NO_QUEUE: No such queue.
- * @RST_OUTCOME_INVALID_KEY: The key is unknown.
- * @RST_OUTCOME_NO_JOB: No such job.
+ * enum rst_outcome - Outcome of a caller's operation.
+ * @RST_OUTCOME_OK: The operation succeeded.
+ * @RST_OUTCOME_STATE: The reply holds the state of the job.
+ * @RST_OUTCOME_COUNT: The reply holds the number of waiting jobs of the queue.
+ * @RST_OUTCOME_NO_QUEUE: The queue does not exist.
+ * @RST_OUTCOME_INVALID_KEY: The API key is unknown.
+ * @RST_OUTCOME_NO_JOB: The job does not exist.
  * @RST_OUTCOME_MALFORMED: The request is malformed.
- * @RST_OUTCOME_REJECTED: Not accepted, and never will run.
- * @RST_OUTCOME_UNKNOWN: It may or may not have been accepted.
+ * @RST_OUTCOME_REJECTED: The job was not accepted and will never run.
+ * @RST_OUTCOME_UNKNOWN: The job may or may not have been accepted.
  */
 enum rst_outcome
 {
@@ -104,6 +113,11 @@
 
 /**
  * enum rst_job_state - State of a job.
+ * @RST_JOB_QUEUED: No task of it has started.
+ * @RST_JOB_RUNNING: A task of it has started.
+ * @RST_JOB_COMPLETED: All its steps are done.
+ * @RST_JOB_FAILED: A task of it failed too often.
+ * @RST_JOB_CANCELLED: A caller cancelled it.
  */
 enum rst_job_state
 {
--- a/src/cell/planner_client.h
+++ b/src/cell/planner_client.h
@@ -1,10 +1,11 @@
 /**
- * DOC: seeker - finds the planner, and notices when there is none
+ * DOC: planner_client - finds the planner and detects its failure
  *
- * The store names the planner under one key, which the planner writes with
- * each commit, so that the key's revision shows that it lives.  A seeker
- * keeps a link to the planner; when the link is lost it reads the key, and
- * where the key stands still it proposes that this process takes over.
+ * The planner record, one key of the store, names the planner.  The planner
+ * rewrites it with each commit, so its revision shows that the planner is
+ * alive.  A planner client keeps a link to the planner.  When the link is
+ * lost it reads the record; when the record's revision stops changing it
+ * proposes that this process takes over.
  */
 #ifndef RST_PLANNER_CLIENT_H
 #define RST_PLANNER_CLIENT_H
@@ -12,15 +13,15 @@
 #include "cell/backend.h"
 #include "cell/messages.h"
 
-/** Key that names the planner. */
+/** Key of the planner record. */
 #define RST_PLANNER_RECORD_KEY "rosemarystile/planner"
 
 /**
- * struct rst_planner_record - Value of the planner's key.
+ * struct rst_planner_record - Value of the planner record.
  * @epoch: Fencing token of the planner.
- * @counter: Number of the planner's last change of the store.
+ * @counter: Number of commits that the planner has made.
  * @name: Name of its process.
- * @address: Where it listens; "" when it has resigned.
+ * @address: Address on which it listens; "" when it has resigned.
  */
 struct rst_planner_record
 {
@@ -30,35 +31,44 @@
   char address[RST_ADDRESS_SIZE];
 };
 
-/** rst_planner_record_pack() - Writes a value of the planner's key. */
+/** rst_planner_record_pack() - Encodes a planner record. */
 void rst_planner_record_pack (struct rst_pack *pack,
                               const struct rst_planner_record *record);
 
-/** rst_planner_record_read() - Reads one; false when the bytes are none. */
+/**
+ * rst_planner_record_read() - Decodes a planner record.
+ *
+ * Return: false when the bytes are not a planner record.
+ */
 bool rst_planner_record_read (struct rst_planner_record *record,
                               const void *data, size_t length);
 
 struct rst_planner_client;
 
 /**
- * struct rst_planner_client_config - How a seeker is set up.
- * @backend: The store.
- * @now: Steady time.
+ * struct rst_planner_client_config - Configuration of a planner client.
+ * @backend: Calls to the store.
+ * @now: Returns monotonic time.
  * @connect: Opens a link and returns its number.
  * @close: Closes a link.
- * @send: Sends a frame.
- * @on_message: A message of the planner, kind and the rest.
- * @on_connected: The planner answers, or has changed whether it serves.
- * @on_disconnected: The link to the planner is gone.
- * @take_over: The planner's key has stood still at a revision; take over. NULL
- *   for a process that can't be planner.
+ * @send: Sends a frame over a link.
+ * @on_message: Receives a message from the planner; @reader is positioned
+ *   behind the kind.
+ * @on_connected: The planner accepted the link, or changed whether it serves
+ *   callers.
+ * @on_disconnected: The link to the planner was lost.
+ * @on_heartbeat: The planner sent a heartbeat; @store_age_ms is the time
+ *   since the store last confirmed it.
+ * @take_over: Proposes a takeover: the planner record has stayed at
+ *   @revision, 0 when it does not exist.  NULL in a process that can't be the
+ *   planner.
  * @userdata: Passed to each.
- * @role: Role said in the hello.
+ * @role: Role sent to the planner.
  * @name: Name of this process; copied.
  * @zone: Its availability zone; copied.
- * @jitter_ms: Own share of the wait before taking over.
- * @standby_delay_ms: Further wait of a process that should be planner only
- * where no other is.
+ * @jitter_ms: Random delay of this process before it takes over.
+ * @standby_delay_ms: Further delay of a process that should take over only
+ *   when no other does.
  */
 struct rst_planner_client_config
 {
@@ -82,38 +92,54 @@
   rst_ms standby_delay_ms;
 };
 
-/** rst_planner_client_create() - A seeker without a link. */
+/** rst_planner_client_create() - Creates a planner client without a link. */
 struct rst_planner_client *
 rst_planner_client_create (const struct rst_planner_client_config *config);
 
-/** rst_planner_client_destroy() - Frees a seeker without calls under way. */
+/**
+ * rst_planner_client_destroy() - Frees a planner client; NULL is ignored.
+ *
+ * No call to the backend may be pending.
+ */
 void rst_planner_client_destroy (struct rst_planner_client *client);
 
-/** rst_planner_client_run() - Does what is due; returns when to be called
- * again. */
+/**
+ * rst_planner_client_run() - Reads the planner record when that is due.
+ *
+ * Also closes a link that the planner has not accepted in time.
+ *
+ * Return: Time at which to call it again.
+ */
 rst_ms rst_planner_client_run (struct rst_planner_client *client);
 
-/** rst_planner_client_owns_link() - Whether a link is the one to the planner.
- */
+/** rst_planner_client_owns_link() - Whether a link leads to the planner. */
 bool rst_planner_client_owns_link (const struct rst_planner_client *client,
                                    uint64_t link);
 
 /** rst_planner_client_link_opened() - The link to the planner was opened. */
 void rst_planner_client_link_opened (struct rst_planner_client *client);
 
-/** rst_planner_client_link_closed() - The link to the planner is gone. */
+/** rst_planner_client_link_closed() - The link to the planner was closed. */
 void rst_planner_client_link_closed (struct rst_planner_client *client);
 
-/** rst_planner_client_handle_frame() - A frame came over the link to the
- * planner. */
+/** rst_planner_client_handle_frame() - Handles a frame from the planner. */
 void rst_planner_client_handle_frame (struct rst_planner_client *client,
                                       const void *data, size_t length);
 
-/** rst_planner_client_send() - Sends to the planner; false without a link. */
+/**
+ * rst_planner_client_send() - Sends a message to the planner.
+ *
+ * Return: false when no planner has accepted the link.
+ */
 bool rst_planner_client_send (struct rst_planner_client *client,
                               const void *data, size_t length);
 
-/** rst_planner_client_redirect() - Another process is the planner now. */
+/**
+ * rst_planner_client_redirect() - Connects to another planner.
+ * @epoch: Its epoch; one that is not later than the present planner's is
+ *   ignored while there is a link.
+ * @address: Its address.
+ */
 void rst_planner_client_redirect (struct rst_planner_client *client,
                                   int64_t epoch, const char *address);
 
