--- a/src/cell/agent.c
+++ b/src/cell/agent.c
@@ -6,38 +6,44 @@
 
 #define LOG_PREFIX "agent"
 
-/** How long a look waits for an end, in milliseconds. */
+/** Longest time that a poll waits for a run to end, in milliseconds. */
 #define POLL_WAIT_MAX_MS 2000
 
-/** Pause after a look that failed, in milliseconds. */
+/** Delay before a failed poll is repeated, in milliseconds. */
 #define POLL_RETRY_MS 300
 
-/** Longest wait for the planner to store listed ends, in milliseconds. */
+/** Longest time to wait for the planner's acknowledgement of listed ends
+    before the next poll, in milliseconds. */
 #define ACK_WAIT_MS 800
 
-/** Answers of one life may cross by this much, in milliseconds. */
+/** Answers of one incarnation may arrive out of order; their clocks then
+    differ by at most this much, in milliseconds. */
 #define CLOCK_REORDER_MARGIN_MS 3000
 
-/** Longest time without anything due, in milliseconds. */
+/** Longest time between two calls of rst_agent_run(), in milliseconds. */
 #define IDLE_MS 1000
 
+/* An instance that the agent holds. */
 struct held_instance
 {
   struct rst_agent *agent;
   char id[RST_ID_SIZE];
   char address[RST_ADDRESS_SIZE];
   int64_t fence;
+  /* Number of the last end that is stored, and of the last one listed. */
   int64_t last_seen;
   int64_t last_listed;
   int64_t incarnation;
+  /* The instance's clock, 0 when unknown, and when it was read. */
   int64_t clock_ms;
   rst_ms clock_read_at;
   rst_ms lease_expires_at;
   rst_ms poll_wait_ms;
   bool poll_pending;
   bool released;
-  /* Whether the last answer came from the life that the numbers belong to.
-     An instance may start again under its id and count its ends anew. */
+  /* Whether the last answer came from the incarnation to which last_seen and
+     last_listed belong.  A restarted instance keeps its id, but numbers its
+     ends from the beginning again. */
   bool same_incarnation;
   rst_ms next_poll_at;
 };
@@ -46,10 +52,11 @@
 {
   struct rst_agent_config config;
   GHashTable *instances;
+  /* When the store last confirmed the planner. */
   rst_ms confirmed_at;
 };
 
-/* An order under way. */
+/* An order that the instance has not answered yet. */
 struct order
 {
   struct rst_agent *agent;
@@ -59,7 +66,7 @@
   int attempt;
 };
 
-/* A call for advice under way. */
+/* A call to the advice service that has not been answered yet. */
 struct advice_request
 {
   struct rst_agent *agent;
@@ -99,8 +106,8 @@
   rst_pack_clear (pack);
 }
 
-/* End of the lease on the instance's clock, or 0 when it may not be
-   extended or its clock is not known. */
+/* Returns the new expiry of the lease on the instance's clock, or 0 when the
+   lease must not be extended or that clock is unknown. */
 static int64_t
 extend_lease (struct held_instance *held, rst_ms now)
 {
@@ -214,7 +221,7 @@
   call.fence = held->fence;
   call.last_seen = held->same_incarnation ? held->last_seen : 0;
   call.deadline_ms = extend_lease (held, now);
-  /* Ends that wait to be stored would end the wait at once. */
+  /* A poll does not wait while there are ends that are not acknowledged. */
   if (held->same_incarnation && held->last_listed <= held->last_seen)
     call.wait_ms = held->poll_wait_ms;
   held->poll_pending = true;
@@ -253,7 +260,8 @@
   if (held != NULL
       && (held->fence != fence || strcmp (held->address, address) != 0))
     {
-      /* A look under the earlier token must not be taken for a new one. */
+      /* The answer to a poll with the earlier token must not be taken for an
+         answer with the new one. */
       release_instance (agent, id);
       held = NULL;
     }
@@ -284,7 +292,7 @@
   number = rst_reader_read_int (reader);
   incarnation = rst_reader_read_int (reader);
   held = g_hash_table_lookup (agent->instances, id);
-  /* Another life has numbered its ends anew. */
+  /* Another incarnation numbers its ends from the beginning again. */
   if (reader->bad || held == NULL || incarnation != held->incarnation
       || number > held->last_listed)
     return;
@@ -309,7 +317,8 @@
   send_pack (order->agent, &pack);
 }
 
-/* A failed order, or a clock that went back, may mean another life. */
+/* When an order failed or the clock went back, the instance may have
+   restarted: polls it to find out. */
 static void
 check_incarnation (struct held_instance *held,
                    const struct rst_instance_answer *answer)
@@ -340,8 +349,8 @@
   g_free (order);
 }
 
-/* Reads which run of which instance an order is for, and aims the call at it.
-   Returns what is held of the instance, or NULL. */
+/* Reads the instance, task and attempt of an order and fills in the call.
+   Returns the instance, or NULL when it is not held. */
 static struct held_instance *
 read_order (struct order *order, struct rst_reader *reader,
             struct rst_instance_call *call)
@@ -376,7 +385,7 @@
   order->agent = agent;
   order->kind = kind == RST_MSG_START ? RST_MSG_STARTED : RST_MSG_STOPPED;
   held = read_order (order, reader, &call);
-  /* Without the instance's clock a start could carry no lease. */
+  /* A start carries a lease, which needs the instance's clock. */
   if (held == NULL || reader->bad
       || (kind == RST_MSG_START && held->clock_ms == 0))
     {
@@ -399,14 +408,14 @@
   g_free (ticket);
 }
 
-/* A lost order on the pace is not answered; the planner repeats it. */
+/* The planner is not told of the result; it repeats the order if need be. */
 static void
 on_pace_done (struct rst_instance_answer *answer, void *userdata)
 {
   struct order *order = userdata;
 
   if (answer->result != RST_RESULT_OK)
-    rst_info (LOG_PREFIX, "Order on the pace did not succeed.", "task",
+    rst_info (LOG_PREFIX, "Order to change the pace of a run failed.", "task",
               order->task, "instance", order->id, "result",
               rst_result_name (answer->result));
   rst_instance_answer_free (answer);
@@ -526,7 +535,7 @@
       request_advice (agent, reader);
       break;
     default:
-      rst_warning (LOG_PREFIX, "Message of an unknown kind was ignored.");
+      rst_warning (LOG_PREFIX, "Unknown kind of message; it is ignored.");
       break;
     }
 }
--- a/src/cell/cellconfig.c
+++ b/src/cell/cellconfig.c
@@ -45,7 +45,7 @@
   g_free (config);
 }
 
-/* A Host header may carry a port. */
+/* A Host header may contain a port. */
 static bool
 host_matches (const char *wanted, const char *host)
 {
@@ -101,7 +101,7 @@
   const char *at = entry->labels;
   size_t length = strlen (label);
 
-  /* Labels are kept as ",a,r1-3,". */
+  /* Each label stands between commas: ",a,r1-3,". */
   while ((at = strchr (at, ',')) != NULL)
     {
       at++;
--- a/src/cell/jobdesc.c
+++ b/src/cell/jobdesc.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/** Members of a packed description and of a packed step. */
+/** Number of members of an encoded description and of an encoded step. */
 #define DESC_MEMBERS 5
 #define STEP_MEMBERS 14
 
--- a/src/cell/pace.c
+++ b/src/cell/pace.c
@@ -2,17 +2,19 @@
 
 #include <glib.h>
 
-/** From this load on, in hundredths of the bound, filling tasks stand still:
-    a serving task beyond its bound costs more than what they get done. */
+/** Load from which best-effort tasks are stopped, in percent of the bound on
+    response times: a long-running task above its bound costs more than the
+    progress of best-effort tasks is worth. */
 #define LOAD_STOP_PERCENT 100
 
-/** From this load on filling tasks are slowed. */
+/** Load from which best-effort tasks are slowed down, in percent. */
 #define LOAD_SLOW_PERCENT 80
 
-/** Below this load they may work faster again. */
+/** Load below which best-effort tasks speed up again, in percent. */
 #define LOAD_RECOVER_PERCENT 60
 
-/** Step up while the load is low, in hundredths; a full return takes ten. */
+/** Increase of the pace at a time, in percent of full speed; ten of them lead
+    from 0 to full speed. */
 #define PACE_STEP_UP_PERCENT 10
 
 int
--- a/src/cell/plan_journal.c
+++ b/src/cell/plan_journal.c
@@ -2,27 +2,31 @@
 
 #include "cell/planner_private.h"
 
-/* Each commit appends one segment, an array of records.  A later record
-   replaces earlier ones about the same thing.  A segment whose records have
-   all been replaced, or concern what may be forgotten, is removed. */
+/* Each commit appends one segment, an array of records, to the journal.  A
+   record replaces the earlier records of the same job, instance or queue.  A
+   segment is removed once all its records are replaced or no longer
+   needed. */
 
-/** Time in which changes gather for one commit, in milliseconds. */
+/** Shortest time between two commits, in milliseconds. */
 #define COMMIT_INTERVAL_MS 25
 
-/** Segments kept before the oldest are rewritten. */
+/** Number of segments above which the oldest ones are rewritten. */
 #define SEGMENTS_MAX 600
 
-/** Segments removed with one commit; bounded by the store's entries. */
+/** Largest number of segments that a commit removes; the store limits the
+    entries of a transaction. */
 #define REMOVED_PER_COMMIT_MAX 16
 
-/** Oldest segments whose jobs are written again together. */
+/** Number of oldest segments whose jobs are rewritten together. */
 #define REWRITTEN_SEGMENTS 16
 
-/** Jobs are added to a segment below this size; a quarter of the largest
-    value that the store takes, so that one large job more fits too. */
+/** Size from which no further job is added to a segment.  It is a quarter of
+    the largest value that the store accepts, so that the last job, which may
+    be large, still fits. */
 #define SEGMENT_BYTES_MAX 262144
 
-/** An instance that was not reached for this long is recorded as out. */
+/** How long an instance does not answer before it is recorded as
+    unreachable, in milliseconds. */
 #define UNREACHABLE_AFTER_MS 300
 
 void
@@ -43,7 +47,8 @@
   g_hash_table_add (planner->segments, key);
 }
 
-/* Whether an instance was lost a moment ago and its record has to stay. */
+/* Whether an instance does not answer but is not recorded as unreachable yet,
+   so that its earlier record is still needed. */
 static gboolean
 awaits_unreachable_record (gpointer key, gpointer value, gpointer userdata)
 {
@@ -54,7 +59,9 @@
   return instance->recorded && !instance->runs_known;
 }
 
-/* Its record goes with the oldest segments. */
+/* The oldest segments, which may hold the record of the instance, are about to
+   be removed, so it is recorded again.  One that does not answer and may have
+   runs still counts as recorded, so that it is recorded as unreachable. */
 static void
 invalidate_instance_record (struct instance *instance)
 {
@@ -62,7 +69,7 @@
       = !instance->runs_known && g_hash_table_size (instance->runs) > 0;
 }
 
-/* Whether old segments are to go now. */
+/* Whether the next commit should remove old segments. */
 static bool
 should_trim (const struct rst_planner *planner)
 {
@@ -85,7 +92,8 @@
   return oldest;
 }
 
-/* Segments that no job's records stand in any more, oldest first. */
+/* Chooses the segments that hold no job's record any more, oldest first.
+   Returns their number. */
 static int
 choose_removable (const struct rst_planner *planner, int64_t *remove)
 {
@@ -110,7 +118,8 @@
   return count;
 }
 
-/* Has the jobs of the oldest segments written again, or forgets them. */
+/* Marks the jobs of the oldest segments to be rewritten, and forgets those
+   that ended long ago. */
 static void
 rewrite_oldest_jobs (struct rst_planner *planner)
 {
@@ -138,7 +147,8 @@
     }
 }
 
-/* Instances and queues are written again where old segments go. */
+/* Marks all instances and queues to be rewritten, since their records may be
+   in the segments that are removed. */
 static void
 invalidate_instances_and_queues (struct rst_planner *planner)
 {
@@ -159,7 +169,7 @@
   return !instance->recorded && instance->registered && instance->runs_known;
 }
 
-/* A predecessor's instance that was never reached stays as it was. */
+/* An inherited instance that has not answered yet keeps its record. */
 static bool
 needs_unreachable_record (const struct rst_planner *planner,
                           const struct instance *instance)
@@ -168,7 +178,8 @@
          && planner->now - instance->runs_unknown_since > UNREACHABLE_AFTER_MS;
 }
 
-/* Writes the instances and queues that have no record yet. */
+/* Packs the instances and queues that need a record and returns their number;
+   only counts them when @pack is NULL. */
 static int
 pack_instances_and_queues (struct rst_planner *planner, struct rst_pack *pack)
 {
@@ -233,7 +244,8 @@
     }
 }
 
-/* Ends listed up to now may be forgotten with the commit under way. */
+/* Once the pending commit is stored, instances may forget the ends that they
+   have listed up to now. */
 static void
 mark_ends_committing (struct rst_planner *planner)
 {
@@ -249,8 +261,8 @@
     }
 }
 
-/* Writes changed jobs, the first ones first, as far as a segment holds them.
-   Returns their number. */
+/* Packs changed jobs, in the order in which they changed, until the segment is
+   full.  Returns their number. */
 static guint
 pack_dirty_jobs (struct rst_planner *planner, struct rst_pack *pack)
 {
@@ -274,7 +286,7 @@
   return count;
 }
 
-/* Hands the next segment over, with the old ones that it makes needless. */
+/* Commits the next segment and removes segments that are no longer needed. */
 static void
 commit_segment (struct rst_planner *planner)
 {
@@ -289,8 +301,8 @@
   if (is_trimming)
     rewrite_oldest_jobs (planner);
   rst_pack_init_sequence (&records);
-  /* Jobs first: the record of an instance that is out names tasks, and the
-     earlier records of their jobs may go with this commit. */
+  /* Jobs come first: the record of an unreachable instance names tasks, and
+     this commit may remove the earlier records of their jobs. */
   jobs = pack_dirty_jobs (planner, &records);
   removed = is_trimming ? choose_removable (planner, remove) : 0;
   if (removed > 0)
@@ -311,7 +323,7 @@
   rst_pack_clear (&pack);
 }
 
-/* Commits what changed, when it has gathered for a moment. */
+/* Commits all changes, unless a commit is pending or was made just now. */
 void
 rst_plan_commit (struct rst_planner *planner)
 {
@@ -332,11 +344,11 @@
   planner->last_commit = planner->now;
   if (has_changes)
     commit_segment (planner);
-  /* Ends whose jobs wait for the next segment are not stored yet. */
+  /* An end is not stored while its job waits for the next segment. */
   planner->acks_pending = planner->dirty->len > 0;
   if (!planner->acks_pending)
     mark_ends_committing (planner);
-  /* Nothing of the ends has to last. */
+  /* No commit is needed before these ends are acknowledged. */
   if (!has_changes)
     rst_plan_send_acks (planner);
 }
--- a/src/cell/plan_record.c
+++ b/src/cell/plan_record.c
@@ -1,10 +1,10 @@
-/* Forms of the journal's records; plan_restore.c reads them. */
+/* Encodes the records of the journal; plan_restore.c decodes them. */
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** How long the steps of a job that is over are written along, in
-    milliseconds; above the time after which every lease has run out. */
+/** How long after a job's end its records still contain its steps, in
+    milliseconds; by then every lease has expired. */
 #define STEPS_RETENTION_MS 15000
 
 static void
@@ -15,8 +15,9 @@
   g_byte_array_append (bytes, (const guint8 *)&big_endian, sizeof big_endian);
 }
 
-/* A task is its flags and count of failed runs, its last attempt and
-   the attempts that failed. */
+/* Packs the tasks of a step as bytes: for each a byte of flags, a byte with
+   the number of failed runs, the last attempt and the failed attempts; an
+   attempt is a 32-bit big-endian number. */
 static void
 pack_tasks (struct rst_pack *pack, const struct step *step)
 {
@@ -63,7 +64,7 @@
     }
 }
 
-/* What is left to know of a job that is over and whose runs have ended. */
+/* Packs an ended job without its steps: only its state is still needed. */
 static void
 pack_ended_job (struct rst_pack *pack, const struct job *job)
 {
@@ -90,7 +91,7 @@
   pack_progress (pack, job);
 }
 
-/* A job that was read without its steps has none to write. */
+/* A job that was restored without its steps has none to write. */
 static bool
 can_omit_steps (const struct rst_planner *planner, const struct job *job)
 {
@@ -126,7 +127,8 @@
   rst_pack_text (pack, instance->entry.zone);
 }
 
-/* An instance that can't be reached: what it may run, and until when. */
+/* Packs an unreachable instance with the runs that it may still have and the
+   Unix time at which its lease expires. */
 void
 rst_plan_pack_unreachable_instance (const struct rst_planner *planner,
                                     struct rst_pack *pack,
--- a/src/cell/plan_restore.c
+++ b/src/cell/plan_restore.c
@@ -1,18 +1,20 @@
-/* Reading of the journal's segments; see plan_journal.c for their form. */
+/* Restores the planner's state from the segments of the journal, which
+   plan_journal.c describes; plan_record.c encodes their records. */
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** Margin for clocks that differ between machines, in milliseconds. */
+/** Margin for the Unix time of another machine, in milliseconds. */
 #define CLOCK_SKEW_MAX_MS 3000
 
-/** Added to the attempts of tasks that are not done: the predecessor's last
-    starts have no record, and a number must not be used twice.  A start is
-    repeated after 100 ms at the least, and a planner that starts a task a
-    hundred times without any record of its job does so for 10 s. */
+/** Added to the attempt of each task that is not done: the predecessor's last
+    starts are not recorded, and an attempt number must not be used twice.  A
+    start is repeated after 100 ms at the earliest, so a planner would have to
+    run for 10 s without a record of the job to use up the margin. */
 #define UNRECORDED_ATTEMPTS_MAX 100
 
-/** Bytes of a task without failed runs: flags, their count, its attempt. */
+/** Bytes of a task without failed runs: flags, number of failed runs,
+    attempt. */
 #define TASK_BYTES_MIN 6
 
 static int
@@ -135,8 +137,8 @@
   g_free (customer);
 }
 
-/* A job without steps: an instance that still lists a task of it is told to
-   stop the task. */
+/* Restores an ended job without its steps.  An instance that still lists a
+   task of the job is told to stop it. */
 static void
 restore_ended_job (struct rst_planner *planner, struct rst_reader *in,
                    int64_t segment)
@@ -195,7 +197,7 @@
   return instance;
 }
 
-/* What an earlier record said of its runs no longer counts. */
+/* Removes the runs that an earlier record of the instance named. */
 static void
 discard_runs (struct rst_planner *planner, struct instance *instance)
 {
@@ -239,7 +241,7 @@
 
       run->from_journal = true;
       rst_plan_run_mark_started (run);
-      /* It may have ended unseen, and the task may run elsewhere. */
+      /* The run may have ended since, and the task may run elsewhere. */
       task->in_doubt = true;
     }
   rows->bad |= row.bad;
@@ -259,6 +261,7 @@
   discard_runs (planner, instance);
   instance->recorded = false;
   instance->inherited = false;
+  /* The instance's clock may run 2 % slow. */
   instance->lease_expires_at = MIN (
       instance->lease_expires_at,
       planner->now + MAX (lease_left_ms, 0) * 102 / 100 + CLOCK_SKEW_MAX_MS);
@@ -397,6 +400,6 @@
   g_snprintf (jobs, sizeof jobs, "%u", g_hash_table_size (planner->jobs));
   g_snprintf (segments, sizeof segments, "%u",
               g_hash_table_size (planner->segments));
-  rst_info (RST_PLAN_LOG, "Journal was read.", "jobs", jobs, "segments",
+  rst_info (RST_PLAN_LOG, "Journal is restored.", "jobs", jobs, "segments",
             segments);
 }
--- a/src/cell/planner_client.c
+++ b/src/cell/planner_client.c
@@ -7,26 +7,30 @@
 
 #define LOG_PREFIX "seeker"
 
-/** Time between two readings of the planner's key, in milliseconds. */
+/** Time between two reads of the planner record, in milliseconds. */
 #define READ_INTERVAL_MS 150
 
-/** Pause after a link that was refused, in milliseconds. */
+/** Delay before reconnecting when the planner did not accept the link, in
+    milliseconds. */
 #define RECONNECT_DELAY_MS 60
 
-/** The key stood still this long after the link was closed by the peer. */
+/** A planner that closed the link is replaced when its record has not changed
+    for this long, in milliseconds. */
 #define TAKEOVER_AFTER_CLOSE_MS 250
 
-/** The same when the planner is silent. */
+/** The same for a planner that is silent, in milliseconds. */
 #define TAKEOVER_AFTER_SILENCE_MS 700
 
-/** Age of the store's last word to the planner from which on others look
-    whether they reach the store. */
+/** When the store has not confirmed the planner for this long, other processes
+    check whether the store answers them, in milliseconds. */
 #define CONFIRMATION_AGE_MAX_MS 600
 
-/** A link that was not answered for this long is closed. */
+/** A link that the planner does not accept for this long is closed, in
+    milliseconds. */
 #define WELCOME_TIMEOUT_MS 700
 
-/** Longest time without anything due. */
+/** Longest time between two calls of rst_planner_client_run(), in
+    milliseconds. */
 #define IDLE_MS 500
 
 struct rst_planner_client
@@ -35,14 +39,18 @@
   uint64_t link;
   bool open;
   bool welcomed;
+  /* Epoch of the planner that the link leads to. */
   int64_t link_epoch;
+  /* Highest epoch that a planner has welcomed this process with. */
   int64_t epoch;
   char address[RST_ADDRESS_SIZE];
   rst_ms connect_started_at;
+  /* When the store last confirmed the planner. */
   rst_ms confirmed_at;
   bool closed_by_peer;
   bool read_pending;
   rst_ms next_read_at;
+  /* Revision of the planner record, and when it was first seen. */
   int64_t revision;
   rst_ms record_changed_at;
 };
@@ -114,7 +122,7 @@
   client->link = 0;
   client->open = false;
   client->welcomed = false;
-  /* A link that never worked must not make this a busy loop. */
+  /* The delay avoids a busy loop when no link is accepted. */
   client->next_read_at
       = was_welcomed ? 0 : client->config.now () + RECONNECT_DELAY_MS;
   if (was_welcomed)
@@ -175,11 +183,12 @@
 {
   rst_ms now = client->config.now ();
 
-  /* Closed at once or by the peer: nobody plans there. */
+  /* A link that was closed soon after it was requested, or soon after the
+     last heartbeat, was closed by the peer, which is not the planner then. */
   client->closed_by_peer
       = now - client->connect_started_at < TAKEOVER_AFTER_CLOSE_MS
         || now - client->confirmed_at < TAKEOVER_AFTER_SILENCE_MS;
-  rst_info (LOG_PREFIX, "Link to the planner is gone.", "address",
+  rst_info (LOG_PREFIX, "Link to the planner is closed.", "address",
             client->address, "how",
             client->closed_by_peer ? "closed" : "silent");
   clear_link (client);
@@ -217,7 +226,7 @@
 
   if (!rst_reader_open (&reader, &unpacked, data, length))
     {
-      rst_warning (LOG_PREFIX, "Frame can't be read; link closed.");
+      rst_warning (LOG_PREFIX, "Frame is malformed; the link is closed.");
       close_link (client);
       goto out;
     }
@@ -253,7 +262,7 @@
   return true;
 }
 
-/* Whether the planner's key has stood still long enough. */
+/* Whether the planner record has not changed for long enough to take over. */
 static bool
 is_record_stale (const struct rst_planner_client *client, rst_ms now)
 {
@@ -276,7 +285,7 @@
 
   if (item != NULL
       && !rst_planner_record_read (&record, item->value, item->length))
-    rst_warning (LOG_PREFIX, "The planner's key can't be read.");
+    rst_warning (LOG_PREFIX, "Planner record is malformed.");
   resigned = record.address[0] == '\0';
   if (revision != client->revision || client->record_changed_at == 0)
     {
