--- a/test/unit/agent_test.cc
+++ b/test/unit/agent_test.cc
@@ -8,7 +8,7 @@
 #include "cell/agent.h"
 }
 
-// A look or an order that the agent made and that waits for its answer.
+// A poll or an order of the agent that has not been answered yet.
 struct AgentCall
 {
   bool is_poll;
@@ -95,7 +95,7 @@
     rst_pack_clear (&pack);
   }
 
-  // Answers the oldest call; a number above 0 adds an end.
+  // Answers the oldest call; the instance lists an end when @end is not 0.
   void
   answer (rst_result result, int64_t clock = 0, int64_t incarnation = 0,
           int64_t end = 0)
@@ -127,7 +127,7 @@
   std::vector<int> pace_percents;
 };
 
-TEST_F (Agent, LooksAtOnceThenWaitsWithALease)
+TEST_F (Agent, PollsAtOnceThenLongPollsWithALease)
 {
   hold_instance ();
   ASSERT_EQ (calls.size (), 1u);
@@ -139,7 +139,7 @@
   EXPECT_EQ (calls[0].deadline, 5000 + 5900);
 }
 
-TEST_F (Agent, CarriesThePaceOfARunToAnInstanceThatItHolds)
+TEST_F (Agent, ForwardsThePaceOfARunToAHeldInstance)
 {
   deliver_message (RST_MSG_PACE, { "i", "t" }, { 1, 40 });
   EXPECT_TRUE (pace_percents.empty ());
@@ -150,7 +150,7 @@
   EXPECT_EQ (pace_percents[0], 40);
 }
 
-TEST_F (Agent, LetsLooksWaitAsLongAsThePlannerSays)
+TEST_F (Agent, SetsThePollWaitThatThePlannerOrders)
 {
   hold_instance ();
   answer (RST_RESULT_OK, 5000, 1);
@@ -161,7 +161,7 @@
   EXPECT_EQ (calls[0].wait, 500);
 }
 
-TEST_F (Agent, WaitsForTheStoreBeforeItLooksAgain)
+TEST_F (Agent, WaitsForTheAckOfEndsBeforeTheNextPoll)
 {
   hold_instance ();
   answer (RST_RESULT_OK, 5000, 1, 3);
@@ -172,7 +172,7 @@
   EXPECT_GT (calls[0].wait, 0);
 }
 
-TEST_F (Agent, NamesNoEndToALifeThatMayBeAnother)
+TEST_F (Agent, AcksNoEndsToAnInstanceThatMayHaveRestarted)
 {
   hold_instance ();
   answer (RST_RESULT_OK, 5000, 1, 3);
@@ -185,7 +185,7 @@
   EXPECT_EQ (calls[0].wait, 0);
 }
 
-TEST_F (Agent, IgnoresAnAckForTheEndsOfAnotherLife)
+TEST_F (Agent, IgnoresAnAckForAnotherIncarnation)
 {
   hold_instance ();
   answer (RST_RESULT_OK, 5000, 2, 3);
@@ -196,7 +196,7 @@
   EXPECT_EQ (calls[0].last_seen, 3);
 }
 
-TEST_F (Agent, ExtendsNoLeaseLongAfterTheStoresLastWord)
+TEST_F (Agent, ExtendsNoLeaseWhenTheLastConfirmationIsTooOld)
 {
   hold_instance ();
   answer (RST_RESULT_OK, 5000, 1);
@@ -209,7 +209,7 @@
   EXPECT_GT (calls[0].deadline, 0);
 }
 
-TEST_F (Agent, StartsNothingBeforeItKnowsTheInstancesClock)
+TEST_F (Agent, StartsNoRunBeforeItKnowsTheInstancesClock)
 {
   hold_instance ();
   deliver_message (RST_MSG_START, { "i", "t" }, { 1 });
@@ -218,7 +218,7 @@
   EXPECT_EQ (calls.size (), 1u);
 }
 
-TEST_F (Agent, IgnoresLooksUnderAnEarlierToken)
+TEST_F (Agent, IgnoresPollsWithAnEarlierToken)
 {
   hold_instance ();
   deliver_message (RST_MSG_HOLD, { "i", "10.0.0.1:80" }, { 2, 0 });
--- a/test/unit/journal_test.cc
+++ b/test/unit/journal_test.cc
@@ -7,6 +7,7 @@
 static const char *const job_a = "00000000000000aa";
 static const std::string task_a0 = "00000000000000aa.0.0.0";
 
+// Submits and cancels a job that fits nowhere, which takes two commits.
 static void
 add_segments (Planner &predecessor, int number)
 {
@@ -21,7 +22,7 @@
   predecessor.complete_commit ();
 }
 
-TEST (Journal, RewritesWhatMayRunBehindTheJobsThatItNames)
+TEST (Journal, RewritesUnreachableInstancesAfterTheJobsOfTheirRuns)
 {
   Planner predecessor;
   Planner successor (2);
@@ -79,7 +80,7 @@
   EXPECT_EQ (successor.reply_to (9)->reply.outcome, RST_OUTCOME_STATE);
 }
 
-// Jobs of about 4 KB each, all handed in while one commit is under way.
+// Submits jobs of about 4 KB each, all while one commit is pending.
 static void
 submit_many (Planner &cell, int count)
 {
@@ -96,7 +97,7 @@
     }
 }
 
-TEST (Journal, KeepsSegmentsBelowWhatTheStoreTakes)
+TEST (Journal, KeepsSegmentsBelowTheLargestValueOfTheStore)
 {
   Planner cell;
   int accepted = 0;
@@ -117,7 +118,7 @@
   EXPECT_EQ (accepted, 400);
 }
 
-TEST (Journal, LetsNoEndBeForgottenWhileItsJobWaitsForTheNextSegment)
+TEST (Journal, AcksNoEndWhileItsJobWaitsForTheNextSegment)
 {
   Planner cell;
 
@@ -174,8 +175,8 @@
     }
 }
 
-// Job a has completed long before the change of planner, so that only the
-// short form of its record is left.
+// Changes the planner long after job a has completed, so that only the record
+// without its steps is left.
 static void
 take_over_after_job (Planner &predecessor, Planner &successor, int jobs_since)
 {
@@ -197,7 +198,7 @@
   rst_planner_finish_restore (successor.planner);
 }
 
-TEST (Journal, RewritesAJobThatWasReadWithoutItsSteps)
+TEST (Journal, RewritesAJobThatWasRestoredWithoutItsSteps)
 {
   Planner predecessor;
   Planner successor (2);
@@ -205,7 +206,7 @@
 
   take_over_after_job (predecessor, successor, 560);
   successor.report (1, "i-0", {});
-  /* Its record is among the oldest again soon after the change. */
+  /* The record of job a is soon among the oldest again. */
   for (int i = 1000; i < 1060; i++)
     add_segments (successor, i);
   successor.commits.insert (successor.commits.begin (),
@@ -221,7 +222,7 @@
   EXPECT_EQ (third.reply_to (8)->reply.state, RST_JOB_COMPLETED);
 }
 
-TEST (Journal, KeepsTheStateOfAJobWhoseStepsWereLeftOut)
+TEST (Journal, KeepsTheStateOfAJobWithoutItsSteps)
 {
   Planner predecessor;
   Planner successor (2);
--- a/test/unit/pace_test.cc
+++ b/test/unit/pace_test.cc
@@ -1,4 +1,4 @@
-// Tasks that fill beside tasks that serve: load that rises and falls.
+// The pace of best-effort tasks beside long-running tasks under varying load.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -17,7 +17,7 @@
 static const std::string long_running_task = "00000000000000aa.0.0.0";
 static const std::string best_effort_task = "00000000000000bb.0.0.0";
 
-TEST (Pace, StopsAtTheBoundHalvesNearItAndReturnsSlowly)
+TEST (Pace, StopsAtTheBoundHalvesNearItAndRisesInSteps)
 {
   EXPECT_EQ (rst_pace_adjust (100, 100), 0);
   EXPECT_EQ (rst_pace_adjust (100, 80), 50);
@@ -26,7 +26,8 @@
   EXPECT_EQ (rst_pace_adjust (95, 0), 100);
 }
 
-// One task that serves with a bound of 50 ms and one that fills beside it.
+// A long-running task with a bound of 50 ms on its response time, and a
+// best-effort task on the same instance.
 class PacedCell : public ::testing::Test
 {
 protected:
@@ -46,7 +47,8 @@
     cell.sent.clear ();
   }
 
-  // What the instance lists; @response_ms is the serving task's response time.
+  // Reports both runs; @response_ms is the response time of the long-running
+  // task.
   void
   report (int64_t response_ms)
   {
@@ -69,7 +71,7 @@
   Planner cell;
 };
 
-TEST_F (PacedCell, LooksMoreOftenWhereBothKindsRun)
+TEST_F (PacedCell, PollsMoreOftenWhereBothKindsRun)
 {
   report (10);
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_SET_POLL_WAIT).size (), 1u);
@@ -77,24 +79,24 @@
   EXPECT_EQ (count_pace_orders (), 0);
 }
 
-TEST_F (PacedCell, SlowsWhatFillsWhileItDisturbs)
+TEST_F (PacedCell, SlowsBestEffortTasksWhileResponsesAreSlow)
 {
   report (60);
   ASSERT_EQ (count_pace_orders (), 1);
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_PACE)[0].task, best_effort_task);
-  // The order may have been lost: it is repeated.
+  // The order is repeated, since it may have been lost.
   report (60);
   EXPECT_EQ (count_pace_orders (), 2);
 }
 
-TEST_F (PacedCell, DoesNotTakeASlowedRunForAStuckOne)
+TEST_F (PacedCell, DoesNotStopASlowedRunAsStalled)
 {
   for (int i = 0; i < 12; i++)
     report (60);
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_STOP).empty ());
 }
 
-TEST_F (PacedCell, LetsItWorkAgainStepByStepAndThenSaysNothing)
+TEST_F (PacedCell, RaisesThePaceInStepsUntilFullSpeed)
 {
   report (60);
   for (int i = 0; i < 10; i++)
--- a/test/unit/planner_client_test.cc
+++ b/test/unit/planner_client_test.cc
@@ -72,7 +72,7 @@
     rst_planner_client_destroy (client);
   }
 
-  // Lets time pass and answers each reading of the key.
+  // Advances time and answers each read of the planner record.
   void
   advance_time (rst_ms length, int64_t revision, int64_t epoch,
                 const char *address)
@@ -146,14 +146,14 @@
   std::vector<int64_t> takeover_revisions;
 };
 
-TEST_F (PlannerClient, ProposesToTakeAnAbsentKey)
+TEST_F (PlannerClient, ProposesATakeoverWhenThereIsNoRecord)
 {
   advance_time (20, 0, 0, "");
   ASSERT_FALSE (takeover_revisions.empty ());
   EXPECT_EQ (takeover_revisions[0], 0);
 }
 
-TEST_F (PlannerClient, LinksToThePlannerThatTheKeyNames)
+TEST_F (PlannerClient, ConnectsToThePlannerThatTheRecordNames)
 {
   connect_client (3);
   ASSERT_EQ (connects.size (), 1u);
@@ -162,7 +162,7 @@
   EXPECT_TRUE (rst_planner_client_send (client, "x", 1));
 }
 
-TEST_F (PlannerClient, DoesNotReplaceAPlannerWhoseKeyMoves)
+TEST_F (PlannerClient, DoesNotReplaceAPlannerWhoseRecordChanges)
 {
   for (int64_t revision = 5; revision < 45; revision++)
     {
@@ -172,7 +172,7 @@
   EXPECT_TRUE (takeover_revisions.empty ());
 }
 
-TEST_F (PlannerClient, ReplacesAPlannerWhoseKeyStandsStill)
+TEST_F (PlannerClient, ReplacesAPlannerWhoseRecordDoesNotChange)
 {
   connect_client (3);
   rst_planner_client_link_closed (client);
@@ -183,13 +183,13 @@
   EXPECT_EQ (takeover_revisions[0], 5);
 }
 
-TEST_F (PlannerClient, ReplacesAPlannerThatResignedAtOnce)
+TEST_F (PlannerClient, ReplacesAResignedPlannerAtOnce)
 {
   advance_time (20, 5, 3, "");
   ASSERT_EQ (takeover_revisions.size (), 1u);
 }
 
-TEST_F (PlannerClient, LeavesTheRoleToOthersForAWhileOnASmallMachine)
+TEST_F (PlannerClient, WaitsForOthersToTakeOverWithAStandbyDelay)
 {
   create (400);
   advance_time (380, 5, 3, "");
@@ -198,7 +198,7 @@
   EXPECT_FALSE (takeover_revisions.empty ());
 }
 
-TEST_F (PlannerClient, LooksAtTheStoreWhenThePlannerHasLostIt)
+TEST_F (PlannerClient, ReadsTheRecordWhenThePlannerHasLostTheStore)
 {
   connect_client (3);
   int before = reads;
@@ -211,7 +211,7 @@
   EXPECT_FALSE (takeover_revisions.empty ());
 }
 
-TEST_F (PlannerClient, FollowsWordOfALaterPlannerOnly)
+TEST_F (PlannerClient, FollowsRedirectsToALaterEpochOnly)
 {
   connect_client (3);
   receive_frame (RST_MSG_REDIRECT, { 2 }, "old:1");
--- a/test/unit/succession_test.cc
+++ b/test/unit/succession_test.cc
@@ -10,7 +10,7 @@
 static const std::string task_a1 = "00000000000000aa.0.0.1";
 static const std::string task_b0 = "00000000000000bb.0.0.0";
 
-TEST (Succession, WaitsUntilEveryInheritedInstanceIsKnown)
+TEST (Succession, WaitsUntilTheRunsOfEveryInheritedInstanceAreKnown)
 {
   Planner predecessor;
   Planner successor (2);
@@ -54,14 +54,14 @@
   successor.add_agent (1);
   successor.add_instance ("i-0");
   rst_planner_finish_restore (successor.planner);
-  // The run has ended in an earlier life that nobody saw.
+  // The run ended unreported, with an earlier incarnation of the instance.
   successor.report (1, "i-0", {}, 2);
   successor.settle ();
   ASSERT_EQ (successor.sent_of_kind (RST_MSG_START).size (), 1u);
   EXPECT_GT (successor.sent_of_kind (RST_MSG_START)[0].attempt, 1);
 }
 
-TEST (Succession, LetsAttemptsRiseBeyondTwoBytes)
+TEST (Succession, KeepsAttemptsAbove16Bits)
 {
   Planner predecessor;
   Planner successor (2);
@@ -84,7 +84,7 @@
   EXPECT_GT (successor.sent_of_kind (RST_MSG_START)[0].attempt, 70000);
 }
 
-TEST (Succession, CountsAJobThatNobodyStartedAsWaiting)
+TEST (Succession, CountsAJobThatWasNeverStartedAsWaiting)
 {
   Planner predecessor;
   Planner successor (2);
@@ -109,7 +109,7 @@
   EXPECT_EQ (third.reply_to (9)->reply.count, 2);
 }
 
-TEST (Succession, CountsWhatMayStillRunAgainstACustomersLimit)
+TEST (Succession, CountsTasksInDoubtAgainstACustomersLimit)
 {
   Planner predecessor;
   Planner successor (2);
@@ -127,7 +127,7 @@
   successor.report (1, "i-0", {});
   successor.call (8, RST_OPERATION_SUBMIT, job_b, Planner::job (1, 1000));
   successor.settle ();
-  // Four tasks may run on i-1, which has not said so yet.
+  // Four tasks may run on i-1, which has not reported its runs yet.
   EXPECT_TRUE (successor.sent_of_kind (RST_MSG_START).empty ());
   successor.report (1, "i-1",
                     { Planner::ended (1, task_a0, 1, RST_END_DONE),
@@ -136,7 +136,7 @@
   EXPECT_EQ (successor.sent_of_kind (RST_MSG_START).size (), 3u);
 }
 
-TEST (Succession, CountsACancelledJobsRunsUntilTheyHaveEnded)
+TEST (Succession, CountsRunsOfACancelledJobUntilTheyEnd)
 {
   Planner predecessor;
   Planner successor (2);
@@ -168,7 +168,7 @@
   EXPECT_EQ (successor.sent_of_kind (RST_MSG_START).size (), 1u);
 }
 
-TEST (Succession, DoesNotWaitForAnInstanceThatWasOutBefore)
+TEST (Succession, DoesNotWaitForAnInstanceRecordedAsUnreachable)
 {
   Planner predecessor;
   Planner successor (2);
@@ -194,7 +194,8 @@
   rst_planner_finish_restore (successor.planner);
   successor.report (1, other, {});
   successor.settle ();
-  // What may still run on the lost instance waits, the other does not.
+  // The task that may still run on the lost instance waits, the other one does
+  // not.
   ASSERT_EQ (successor.sent_of_kind (RST_MSG_START).size (), 1u);
   EXPECT_EQ (successor.sent_of_kind (RST_MSG_START)[0].task, task_b0);
   int attempt = (int)successor.sent_of_kind (RST_MSG_START)[0].number;
@@ -210,7 +211,7 @@
   EXPECT_EQ (successor.sent_of_kind (RST_MSG_START)[0].task, task_a0);
 }
 
-TEST (Succession, StartsNothingOfAJobThatALaterRecordEnds)
+TEST (Succession, StartsNoTaskOfAJobThatALaterRecordEnds)
 {
   Planner predecessor;
   Planner successor (2);
@@ -242,7 +243,7 @@
   EXPECT_TRUE (successor.sent_of_kind (RST_MSG_START).empty ());
 }
 
-TEST (Succession, PassesOnWhatMayRunOnAnInstanceThatIsOut)
+TEST (Succession, HandsOverTheRunsOfAnUnreachableInstance)
 {
   Planner predecessor;
   Planner successor (2);
@@ -278,7 +279,7 @@
   EXPECT_TRUE (third.sent_of_kind (RST_MSG_START).empty ());
 }
 
-TEST (Succession, HoldsNothingBeforeTheJournalIsRead)
+TEST (Succession, HoldsNoInstanceBeforeTheJournalIsRestored)
 {
   Planner predecessor;
   Planner successor (2);
@@ -326,7 +327,7 @@
   EXPECT_EQ (successor.reply_to (9)->reply.state, RST_JOB_FAILED);
 }
 
-TEST (Succession, TakesTheOtherRecordsOfASegmentWithABadOne)
+TEST (Succession, RestoresTheOtherRecordsOfASegmentWithABadOne)
 {
   Planner predecessor;
   Planner successor (2);
@@ -337,7 +338,7 @@
   predecessor.advance_time (40);
   ASSERT_EQ (predecessor.commits.size (), 1u);
   ASSERT_EQ (predecessor.commits[0].data[0], '\x91');
-  /* A record of an unknown kind stands before the job's. */
+  /* A record of an unknown kind precedes that of the job. */
   std::string data = "\x92\x91\x63" + predecessor.commits[0].data.substr (1);
 
   EXPECT_FALSE (
@@ -348,12 +349,10 @@
   EXPECT_EQ (successor.reply_to (8)->reply.outcome, RST_OUTCOME_STATE);
 }
 
-TEST (Succession, SkipsASegmentThatCantBeRead)
+TEST (Succession, SkipsAMalformedSegment)
 {
   Planner successor (2);
 
   EXPECT_FALSE (rst_planner_restore (successor.planner, 1, "\x93\x01", 2));
   EXPECT_FALSE (rst_planner_restore (successor.planner, 2, "none", 4));
 }
-
-// Hands in and cancels a job that fits nowhere: two commits.
