--- a/src/cell/pace.c
+++ b/src/cell/pace.c
@@ -2,27 +2,29 @@
 
 #include <glib.h>
 
-/** From this load on, in hundredths of the bound, filling tasks stand still:
-    a serving task beyond its bound costs more than what they get done. */
+/** Load from which best-effort tasks are stopped, in percent of the bound on
+    response times: a long-running task above its bound costs more than the
+    progress of best-effort tasks is worth. */
 #define LOAD_STOP_PERCENT 100
 
-/** From this load on filling tasks are slowed. */
+/** Load from which best-effort tasks are slowed down, in percent. */
 #define LOAD_SLOW_PERCENT 80
 
-/** Below this load they may work faster again. */
+/** Load below which best-effort tasks speed up again, in percent. */
 #define LOAD_RECOVER_PERCENT 60
 
-/** Step up while the load is low, in hundredths; a full return takes ten. */
+/** Increase of the pace at a time, in percent of full speed; ten of them lead
+    from 0 to full speed. */
 #define PACE_STEP_UP_PERCENT 10
 
 int
-rst_pace_adjust (int pace, int64_t load)
+rst_pace_adjust (int pace_percent, int64_t load_percent)
 {
-  if (load >= LOAD_STOP_PERCENT)
+  if (load_percent >= LOAD_STOP_PERCENT)
     return 0;
-  if (load >= LOAD_SLOW_PERCENT)
-    return pace / 2;
-  if (load < LOAD_RECOVER_PERCENT)
-    return MIN (pace + PACE_STEP_UP_PERCENT, RST_PACE_FULL_PERCENT);
-  return pace;
+  if (load_percent >= LOAD_SLOW_PERCENT)
+    return pace_percent / 2;
+  if (load_percent < LOAD_RECOVER_PERCENT)
+    return MIN (pace_percent + PACE_STEP_UP_PERCENT, RST_PACE_FULL_PERCENT);
+  return pace_percent;
 }
--- a/src/cell/plan_record.c
+++ b/src/cell/plan_record.c
@@ -1,22 +1,23 @@
-/* Forms of the journal's records; plan_restore.c reads them. */
+/* Encodes the records of the journal; plan_restore.c decodes them. */
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** How long the steps of a job that is over are written along, in
-    milliseconds; above the time after which every lease has run out. */
+/** How long after a job's end its records still contain its steps, in
+    milliseconds; by then every lease has expired. */
 #define STEPS_RETENTION_MS 15000
 
 static void
-add_number (GByteArray *bytes, int number)
+append_int32 (GByteArray *bytes, int number)
 {
-  guint32 ordered = g_htonl ((guint32)number);
+  guint32 big_endian = g_htonl ((guint32)number);
 
-  g_byte_array_append (bytes, (const guint8 *)&ordered, sizeof ordered);
+  g_byte_array_append (bytes, (const guint8 *)&big_endian, sizeof big_endian);
 }
 
-/* A task is its flags and count of failed runs, its last attempt and
-   the attempts that failed. */
+/* Packs the tasks of a step as bytes: for each a byte of flags, a byte with
+   the number of failed runs, the last attempt and the failed attempts; an
+   attempt is a 32-bit big-endian number. */
 static void
 pack_tasks (struct rst_pack *pack, const struct step *step)
 {
@@ -33,9 +34,9 @@
       if (step->occurrence->job->has_started)
         head[0] |= RST_TASK_STARTED_FLAG;
       g_byte_array_append (bytes, head, sizeof head);
-      add_number (bytes, task->attempt);
+      append_int32 (bytes, task->attempt);
       for (int k = 0; k < failed_runs; k++)
-        add_number (bytes, task->failed_attempts[k]);
+        append_int32 (bytes, task->failed_attempts[k]);
     }
   rst_pack_bytes (pack, bytes->data, bytes->len);
   g_byte_array_free (bytes, TRUE);
@@ -63,12 +64,12 @@
     }
 }
 
-/* What is left to know of a job that is over and whose runs have ended. */
+/* Packs an ended job without its steps: only its state is still needed. */
 static void
 pack_ended_job (struct rst_pack *pack, const struct job *job)
 {
   rst_pack_array (pack, 6);
-  rst_pack_int (pack, RST_RECORD_JOB_OVER);
+  rst_pack_int (pack, RST_RECORD_JOB_ENDED);
   rst_pack_text (pack, job->id);
   rst_pack_text (pack, job->queue->settings.name);
   rst_pack_text (pack, job->customer->settings.name);
@@ -90,7 +91,7 @@
   pack_progress (pack, job);
 }
 
-/* A job that was read without its steps has none to write. */
+/* A job that was restored without its steps has none to write. */
 static bool
 can_omit_steps (const struct rst_planner *planner, const struct job *job)
 {
@@ -126,7 +127,8 @@
   rst_pack_text (pack, instance->entry.zone);
 }
 
-/* An instance that can't be reached: what it may run, and until when. */
+/* Packs an unreachable instance with the runs that it may still have and the
+   Unix time at which its lease expires. */
 void
 rst_plan_pack_unreachable_instance (const struct rst_planner *planner,
                                     struct rst_pack *pack,
@@ -136,7 +138,7 @@
   gpointer value;
 
   rst_pack_array (pack, 6);
-  rst_pack_int (pack, RST_RECORD_INSTANCE_OUT);
+  rst_pack_int (pack, RST_RECORD_INSTANCE_UNREACHABLE);
   rst_pack_text (pack, instance->entry.id);
   rst_pack_text (pack, instance->entry.address);
   rst_pack_text (pack, instance->entry.zone);
--- a/src/cell/plan_restore.c
+++ b/src/cell/plan_restore.c
@@ -1,29 +1,31 @@
-/* Reading of the journal's segments; see plan_journal.c for their form. */
+/* Restores the planner's state from the segments of the journal, which
+   plan_journal.c describes; plan_record.c encodes their records. */
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** Margin for clocks that differ between machines, in milliseconds. */
+/** Margin for the Unix time of another machine, in milliseconds. */
 #define CLOCK_SKEW_MAX_MS 3000
 
-/** Added to the attempts of tasks that are not done: the predecessor's last
-    starts have no record, and a number must not be used twice.  A start is
-    repeated after 100 ms at the least, and a planner that starts a task a
-    hundred times without any record of its job does so for 10 s. */
+/** Added to the attempt of each task that is not done: the predecessor's last
+    starts are not recorded, and an attempt number must not be used twice.  A
+    start is repeated after 100 ms at the earliest, so a planner would have to
+    run for 10 s without a record of the job to use up the margin. */
 #define UNRECORDED_ATTEMPTS_MAX 100
 
-/** Bytes of a task without failed runs: flags, their count, its attempt. */
+/** Bytes of a task without failed runs: flags, number of failed runs,
+    attempt. */
 #define TASK_BYTES_MIN 6
 
 static int
-read_number (const guint8 *bytes, size_t length, size_t *at)
+read_int32 (const guint8 *bytes, size_t length, size_t *at)
 {
-  guint32 ordered = 0;
+  guint32 big_endian = 0;
 
-  if (*at + sizeof ordered <= length)
-    memcpy (&ordered, bytes + *at, sizeof ordered);
-  *at += sizeof ordered;
-  return (int)g_ntohl (ordered);
+  if (*at + sizeof big_endian <= length)
+    memcpy (&big_endian, bytes + *at, sizeof big_endian);
+  *at += sizeof big_endian;
+  return (int)g_ntohl (big_endian);
 }
 
 static void
@@ -40,12 +42,12 @@
 
       task->failed_runs = MIN (bytes[at + 1], RST_FAILED_RUNS_MAX);
       at += 2;
-      attempt = read_number (bytes, length, &at);
+      attempt = read_int32 (bytes, length, &at);
       task->attempt = MAX (task->attempt, attempt);
       if (has_started)
         rst_plan_job_mark_started (step->occurrence->job);
       for (int k = 0; k < task->failed_runs; k++)
-        task->failed_attempts[k] = read_number (bytes, length, &at);
+        task->failed_attempts[k] = read_int32 (bytes, length, &at);
       if (!done || task->done)
         continue;
       task->done = true;
@@ -106,7 +108,7 @@
   char *queue;
   char *customer;
   int64_t submitted_ms;
-  bool beyond;
+  bool over_share;
   struct rst_jobdesc *desc;
   struct job *job;
 
@@ -114,7 +116,7 @@
   queue = rst_reader_read_text (in);
   customer = rst_reader_read_text (in);
   submitted_ms = rst_reader_read_int (in);
-  beyond = rst_reader_read_int (in) != 0;
+  over_share = rst_reader_read_int (in) != 0;
   desc = rst_jobdesc_read (in);
   job = g_hash_table_lookup (planner->jobs, id);
   if (desc != NULL && job == NULL)
@@ -125,7 +127,7 @@
   if (desc != NULL)
     {
       job->submitted_ms = submitted_ms;
-      job->over_share = beyond;
+      job->over_share = over_share;
       job->stored = true;
       job->full_record_segment = segment;
       job->last_record_segment = segment;
@@ -135,8 +137,8 @@
   g_free (customer);
 }
 
-/* A job without steps: an instance that still lists a task of it is told to
-   stop the task. */
+/* Restores an ended job without its steps.  An instance that still lists a
+   task of the job is told to stop it. */
 static void
 restore_ended_job (struct rst_planner *planner, struct rst_reader *in,
                    int64_t segment)
@@ -195,7 +197,7 @@
   return instance;
 }
 
-/* What an earlier record said of its runs no longer counts. */
+/* Removes the runs that an earlier record of the instance named. */
 static void
 discard_runs (struct rst_planner *planner, struct instance *instance)
 {
@@ -239,7 +241,7 @@
 
       run->from_journal = true;
       rst_plan_run_mark_started (run);
-      /* It may have ended unseen, and the task may run elsewhere. */
+      /* The run may have ended since, and the task may run elsewhere. */
       task->in_doubt = true;
     }
   rows->bad |= row.bad;
@@ -251,7 +253,7 @@
                               struct rst_reader *in)
 {
   struct instance *instance = restore_instance_entry (planner, in);
-  int64_t tasks_left = rst_reader_read_int (in) - planner->unix_ms;
+  int64_t lease_left_ms = rst_reader_read_int (in) - planner->unix_ms;
   struct rst_reader rows = rst_reader_read_array (in);
 
   if (instance == NULL)
@@ -259,9 +261,10 @@
   discard_runs (planner, instance);
   instance->recorded = false;
   instance->inherited = false;
+  /* The instance's clock may run 2 % slow. */
   instance->lease_expires_at = MIN (
       instance->lease_expires_at,
-      planner->now + MAX (tasks_left, 0) * 102 / 100 + CLOCK_SKEW_MAX_MS);
+      planner->now + MAX (lease_left_ms, 0) * 102 / 100 + CLOCK_SKEW_MAX_MS);
   for (uint32_t i = 0; i < rows.count; i++)
     restore_run (planner, instance, &rows);
   in->bad |= rows.bad;
@@ -310,13 +313,13 @@
           restore_progress (planner, job, &in);
         }
       break;
-    case RST_RECORD_JOB_OVER:
+    case RST_RECORD_JOB_ENDED:
       restore_ended_job (planner, &in, segment);
       break;
     case RST_RECORD_INSTANCE:
       restore_instance (planner, &in);
       break;
-    case RST_RECORD_INSTANCE_OUT:
+    case RST_RECORD_INSTANCE_UNREACHABLE:
       restore_unreachable_instance (planner, &in);
       break;
     case RST_RECORD_QUEUE:
@@ -397,6 +400,6 @@
   g_snprintf (jobs, sizeof jobs, "%u", g_hash_table_size (planner->jobs));
   g_snprintf (segments, sizeof segments, "%u",
               g_hash_table_size (planner->segments));
-  rst_info (RST_PLAN_LOG, "Journal was read.", "jobs", jobs, "segments",
+  rst_info (RST_PLAN_LOG, "Journal is restored.", "jobs", jobs, "segments",
             segments);
 }
--- a/src/cell/planner_client.c
+++ b/src/cell/planner_client.c
@@ -7,26 +7,30 @@
 
 #define LOG_PREFIX "seeker"
 
-/** Time between two readings of the planner's key, in milliseconds. */
+/** Time between two reads of the planner record, in milliseconds. */
 #define READ_INTERVAL_MS 150
 
-/** Pause after a link that was refused, in milliseconds. */
+/** Delay before reconnecting when the planner did not accept the link, in
+    milliseconds. */
 #define RECONNECT_DELAY_MS 60
 
-/** The key stood still this long after the link was closed by the peer. */
+/** A planner that closed the link is replaced when its record has not changed
+    for this long, in milliseconds. */
 #define TAKEOVER_AFTER_CLOSE_MS 250
 
-/** The same when the planner is silent. */
+/** The same for a planner that is silent, in milliseconds. */
 #define TAKEOVER_AFTER_SILENCE_MS 700
 
-/** Age of the store's last word to the planner from which on others look
-    whether they reach the store. */
+/** When the store has not confirmed the planner for this long, other processes
+    check whether the store answers them, in milliseconds. */
 #define CONFIRMATION_AGE_MAX_MS 600
 
-/** A link that was not answered for this long is closed. */
+/** A link that the planner does not accept for this long is closed, in
+    milliseconds. */
 #define WELCOME_TIMEOUT_MS 700
 
-/** Longest time without anything due. */
+/** Longest time between two calls of rst_planner_client_run(), in
+    milliseconds. */
 #define IDLE_MS 500
 
 struct rst_planner_client
@@ -35,14 +39,18 @@
   uint64_t link;
   bool open;
   bool welcomed;
+  /* Epoch of the planner that the link leads to. */
   int64_t link_epoch;
+  /* Highest epoch that a planner has welcomed this process with. */
   int64_t epoch;
   char address[RST_ADDRESS_SIZE];
   rst_ms connect_started_at;
+  /* When the store last confirmed the planner. */
   rst_ms confirmed_at;
   bool closed_by_peer;
-  bool reading;
-  rst_ms next_read;
+  bool read_pending;
+  rst_ms next_read_at;
+  /* Revision of the planner record, and when it was first seen. */
   int64_t revision;
   rst_ms record_changed_at;
 };
@@ -109,14 +117,15 @@
 static void
 clear_link (struct rst_planner_client *client)
 {
-  bool was = client->welcomed;
+  bool was_welcomed = client->welcomed;
 
   client->link = 0;
   client->open = false;
   client->welcomed = false;
-  /* A link that never worked must not make this a busy loop. */
-  client->next_read = was ? 0 : client->config.now () + RECONNECT_DELAY_MS;
-  if (was)
+  /* The delay avoids a busy loop when no link is accepted. */
+  client->next_read_at
+      = was_welcomed ? 0 : client->config.now () + RECONNECT_DELAY_MS;
+  if (was_welcomed)
     client->config.on_disconnected (client->config.userdata);
 }
 
@@ -132,8 +141,8 @@
 }
 
 static void
-connect_to (struct rst_planner_client *client, int64_t epoch,
-            const char *address)
+connect_to_planner (struct rst_planner_client *client, int64_t epoch,
+                    const char *address)
 {
   if (client->link != 0 && client->link_epoch >= epoch)
     return;
@@ -150,7 +159,7 @@
                              const char *address)
 {
   if (epoch > client->link_epoch || client->link == 0)
-    connect_to (client, epoch, address);
+    connect_to_planner (client, epoch, address);
 }
 
 void
@@ -174,11 +183,12 @@
 {
   rst_ms now = client->config.now ();
 
-  /* Closed at once or by the peer: nobody plans there. */
+  /* A link that was closed soon after it was requested, or soon after the
+     last heartbeat, was closed by the peer, which is not the planner then. */
   client->closed_by_peer
       = now - client->connect_started_at < TAKEOVER_AFTER_CLOSE_MS
         || now - client->confirmed_at < TAKEOVER_AFTER_SILENCE_MS;
-  rst_info (LOG_PREFIX, "Link to the planner is gone.", "address",
+  rst_info (LOG_PREFIX, "Link to the planner is closed.", "address",
             client->address, "how",
             client->closed_by_peer ? "closed" : "silent");
   clear_link (client);
@@ -216,7 +226,7 @@
 
   if (!rst_reader_open (&reader, &unpacked, data, length))
     {
-      rst_warning (LOG_PREFIX, "Frame can't be read; link closed.");
+      rst_warning (LOG_PREFIX, "Frame is malformed; the link is closed.");
       close_link (client);
       goto out;
     }
@@ -252,7 +262,7 @@
   return true;
 }
 
-/* Whether the planner's key has stood still long enough. */
+/* Whether the planner record has not changed for long enough to take over. */
 static bool
 is_record_stale (const struct rst_planner_client *client, rst_ms now)
 {
@@ -275,7 +285,7 @@
 
   if (item != NULL
       && !rst_planner_record_read (&record, item->value, item->length))
-    rst_warning (LOG_PREFIX, "The planner's key can't be read.");
+    rst_warning (LOG_PREFIX, "Planner record is malformed.");
   resigned = record.address[0] == '\0';
   if (revision != client->revision || client->record_changed_at == 0)
     {
@@ -283,7 +293,7 @@
       client->record_changed_at = now;
     }
   if (!resigned && (client->link == 0 || record.epoch > client->link_epoch))
-    connect_to (client, record.epoch, record.address);
+    connect_to_planner (client, record.epoch, record.address);
   if (client->config.take_over == NULL || record.epoch < client->epoch)
     return;
   if ((resigned
@@ -301,8 +311,8 @@
   struct rst_planner_client *client = userdata;
   const struct rst_store_item *item = NULL;
 
-  client->reading = false;
-  client->next_read = client->config.now () + READ_INTERVAL_MS;
+  client->read_pending = false;
+  client->next_read_at = client->config.now () + READ_INTERVAL_MS;
   if (answer->result == RST_RESULT_OK && answer->items->len > 0)
     item = g_ptr_array_index (answer->items, 0);
   if (item != NULL || answer->result == RST_RESULT_ABSENT)
@@ -321,11 +331,11 @@
   if (client->link != 0 && !client->welcomed
       && now - client->connect_started_at > WELCOME_TIMEOUT_MS)
     close_link (client);
-  if (is_connected || client->reading)
+  if (is_connected || client->read_pending)
     return now + IDLE_MS;
-  if (now < client->next_read)
-    return client->next_read;
-  client->reading = true;
+  if (now < client->next_read_at)
+    return client->next_read_at;
+  client->read_pending = true;
   backend->store_get (backend->userdata, RST_PLANNER_RECORD_KEY,
                       on_record_read, client);
   return now + IDLE_MS;
