--- a/src/coordination/sched_instance.c
+++ b/src/coordination/sched_instance.c
@@ -288,7 +288,7 @@
 claim_instances (struct rst_scheduler *sched, struct rst_zone *zone,
                  void *data)
 {
-  const struct rst_zone *present = sched_zone (sched);
+  const struct rst_zone *current = sched_zone (sched);
   GPtrArray *names = g_ptr_array_new ();
   GHashTableIter iterator;
   gpointer value;
@@ -300,9 +300,9 @@
     if (is_claimable (sched, value))
       g_ptr_array_add (names, ((struct instance *)value)->info.name);
   /* Instances that are listed no more need an owner to be forgotten. */
-  for (int i = 0; present != NULL && i < present->owned_count; i++)
-    if (present->owned[i].owner[0] == '\0')
-      g_ptr_array_add (names, (gpointer)present->owned[i].instance);
+  for (int i = 0; current != NULL && i < current->owned_count; i++)
+    if (current->owned[i].owner[0] == '\0')
+      g_ptr_array_add (names, (gpointer)current->owned[i].instance);
   count = rst_zone_claim_instances (zone, sched->incarnation,
                                     (const char *const *)names->pdata,
                                     (int)names->len);
--- a/src/coordination/sched_limit.c
+++ b/src/coordination/sched_limit.c
@@ -28,7 +28,7 @@
 
 struct transfer
 {
-  char to[RST_NAME_SIZE];
+  char receiver[RST_NAME_SIZE];
   uint32_t count;
   bool written;
   CK_LIST_ENTRY (transfer) entry;
@@ -206,18 +206,18 @@
 }
 
 static void
-add_transfer (struct team *team, const char *to, uint32_t count)
+add_transfer (struct team *team, const char *receiver, uint32_t count)
 {
   struct transfer *transfer = g_new0 (struct transfer, 1);
 
-  g_strlcpy (transfer->to, to, RST_NAME_SIZE);
+  g_strlcpy (transfer->receiver, receiver, RST_NAME_SIZE);
   transfer->count = count;
   CK_LIST_INSERT_HEAD (&team->transfers, transfer, entry);
 }
 
 /* The new owner counts this work from now on; its part moves there. */
 static void
-move_adopted (struct team *team, const char *instance, const char *to,
+move_adopted (struct team *team, const char *instance, const char *receiver,
               uint32_t count)
 {
   struct handed_over *handed_over = CK_LIST_FIRST (&team->handed_over_list);
@@ -235,7 +235,7 @@
             {
               /* No longer usable here, from before the write is sent. */
               team->granted -= moved;
-              add_transfer (team, to, moved);
+              add_transfer (team, receiver, moved);
             }
           remove_handed_over (team, handed_over);
         }
@@ -368,7 +368,8 @@
 
   sched->counters.store_writes++;
   sched->platform->store_put (sched->platform_data, key, team->text,
-                              (int64_t)team->base, 0, on_limit_written, team);
+                              (int64_t)team->base_revision, 0,
+                              on_limit_written, team);
   g_free (key);
 }
 
@@ -382,11 +383,11 @@
 
   if (!found && reply->result != RST_PLATFORM_NOT_FOUND)
     {
-      team->read_at = sched_now (team->sched)
-                      + sched_jitter (team->sched, SCHED_STORE_RETRY_MS);
+      team->verify_at = sched_now (team->sched)
+                        + sched_jitter (team->sched, SCHED_STORE_RETRY_MS);
       return;
     }
-  if (revision == team->base)
+  if (revision == team->base_revision)
     {
       send_write (team);
       return;
@@ -407,7 +408,7 @@
   struct rst_scheduler *sched = team->sched;
   char *key = limit_key (team);
 
-  team->read_at = 0;
+  team->verify_at = 0;
   sched->counters.store_reads++;
   sched->platform->store_get (sched->platform_data, key, on_limit_read, team);
   g_free (key);
@@ -438,7 +439,7 @@
     return;
   own->write_number = ++team->write_number;
   team->busy = true;
-  team->base = limit->revision;
+  team->base_revision = limit->revision;
   g_strlcpy (team->writer, sched->incarnation, RST_NAME_SIZE);
   team->text = rst_limit_format (limit);
   send_write (team);
@@ -481,17 +482,18 @@
   {
     struct rst_limit_part *own
         = rst_limit_find_part (limit, team->sched->incarnation);
-    struct rst_limit_part *to;
+    struct rst_limit_part *receiver;
 
     transfer->written = true;
     changed = true;
     if (own == NULL || own->granted < transfer->count
-        || rst_limit_grow_part (limit, transfer->to, 0, 0) == RST_ERROR_FULL)
+        || rst_limit_grow_part (limit, transfer->receiver, 0, 0)
+               == RST_ERROR_FULL)
       continue;
     own = rst_limit_find_part (limit, team->sched->incarnation);
-    to = rst_limit_find_part (limit, transfer->to);
+    receiver = rst_limit_find_part (limit, transfer->receiver);
     own->granted -= transfer->count;
-    to->granted += transfer->count;
+    receiver->granted += transfer->count;
   }
   return changed;
 }
@@ -648,7 +650,7 @@
 
   if (team->busy)
     {
-      if (team->read_at != 0 && sched_now (sched) >= team->read_at)
+      if (team->verify_at != 0 && sched_now (sched) >= team->verify_at)
         read_limit (team);
       return;
     }
--- a/src/coordination/sched_member.c
+++ b/src/coordination/sched_member.c
@@ -46,7 +46,7 @@
   sched->session = SESSION_NONE;
   sched->session_next_at = 0;
   sched->member_record_revision = 0;
-  sched->touch = 0;
+  sched->member_write_number = 0;
   sched->declared_view = 0;
   sched->joined_revision = 0;
   sched_record_begin_incarnation (sched);
@@ -169,7 +169,7 @@
           return;
         }
       sched->member_record_revision = reply->kvs[0].revision;
-      if (record.touch == sched->touch)
+      if (record.touch == sched->member_write_number)
         {
           finish_member_write (sched, reply->kvs[0].revision, reply->sent_at);
           return;
@@ -227,7 +227,7 @@
     }
   g_strlcpy (record.incarnation, sched->incarnation, RST_NAME_SIZE);
   record.view = sched->declaring_view;
-  record.touch = ++sched->touch;
+  record.touch = ++sched->member_write_number;
   key = sched_member_record_key (sched, sched->incarnation);
   text = rst_member_record_format (&record);
   sched->counters.store_writes++;
@@ -258,7 +258,7 @@
       delay_session_retry (sched);
       return;
     }
-  sched->lease = reply->revision;
+  sched->lease_id = reply->revision;
   sched->lease_granted_at = reply->sent_at;
   sched->session = SESSION_LEASED;
 }
@@ -286,7 +286,7 @@
 
   sched->counters.store_writes++;
   sched->platform->store_put (sched->platform_data, key, "{}",
-                              RST_ANY_REVISION, sched->lease,
+                              RST_ANY_REVISION, sched->lease_id,
                               on_alive_key_written, sched);
   g_free (key);
 }
@@ -300,7 +300,7 @@
   if (sched->session != SESSION_REGISTERED
       || sched->renewal_incarnation_number != sched->incarnation_number)
     return;
-  if (reply->result == RST_PLATFORM_OK && reply->revision == sched->lease)
+  if (reply->result == RST_PLATFORM_OK && reply->revision == sched->lease_id)
     rst_tenure_record_renewal (sched->tenure, reply->sent_at);
   else if (reply->result == RST_PLATFORM_NOT_FOUND)
     {
@@ -323,7 +323,7 @@
   sched->lease_renewal_next_at
       = now + sched->config.tenure.lease_ms / RENEWALS_PER_LEASE;
   sched->counters.store_writes++;
-  sched->platform->lease_keep (sched->platform_data, sched->lease,
+  sched->platform->lease_keep (sched->platform_data, sched->lease_id,
                                on_lease_renewed, sched);
 }
 
@@ -596,7 +596,7 @@
   sched->handover_done = true;
   sched_member_delete_record (sched, sched->incarnation);
   sched->counters.store_writes++;
-  sched->platform->lease_drop (sched->platform_data, sched->lease,
+  sched->platform->lease_drop (sched->platform_data, sched->lease_id,
                                sched_ignore_reply, sched);
 }
 
--- a/src/coordination/sched_peer.c
+++ b/src/coordination/sched_peer.c
@@ -143,7 +143,7 @@
   peer = g_new0 (struct peer, 1);
   peer->link = link;
   peer->outgoing = true;
-  peer->order = sched_next_id (sched);
+  peer->opened_order = sched_next_id (sched);
   g_strlcpy (peer->address, address, RST_ADDRESS_SIZE);
   g_hash_table_insert (sched->peers, &peer->link, peer);
   return peer;
@@ -164,7 +164,7 @@
   if (strcmp (member->address, peer->address) != 0
       || strcmp (member->incarnation, peer->incarnation) == 0)
     return;
-  if (peer->outgoing && peer->order > first_seen)
+  if (peer->outgoing && peer->opened_order > first_seen)
     sched_member_note_stopped (sched, member->incarnation);
   else if (!peer->outgoing)
     {
--- a/src/coordination/sched_record.c
+++ b/src/coordination/sched_record.c
@@ -48,7 +48,7 @@
 
 /* How long after an event an earlier run must still be reckoned with. */
 static rst_ms
-window (const struct rst_scheduler *sched)
+get_lookback_ms (const struct rst_scheduler *sched)
 {
   return rst_settings_cell (sched->settings)->max_deadline_ms
          + SCHED_RECORD_TTL_MS;
@@ -111,65 +111,65 @@
   struct rst_scheduler *sched;
   const char *key;
   rst_ms now;
-  rst_ms window;
+  rst_ms lookback_ms;
   const char *home;
   uint64_t home_score;
   uint64_t stable_score;
 };
 
 static bool
-is_stable (const struct home_search *home_search, const char *incarnation)
+is_stable (const struct home_search *search, const char *incarnation)
 {
   const struct known_member *member
-      = g_hash_table_lookup (home_search->sched->member_history, incarnation);
+      = g_hash_table_lookup (search->sched->member_history, incarnation);
 
   return member != NULL
-         && home_search->now - member->first_seen >= home_search->window;
+         && search->now - member->first_seen >= search->lookback_ms;
 }
 
 static void
 score_members (const struct rst_zone *zone, void *userdata)
 {
-  struct home_search *home_search = userdata;
+  struct home_search *search = userdata;
 
   for (int i = 0; i < zone->member_count; i++)
     {
       const char *incarnation = zone->members[i].incarnation;
-      uint64_t score = rst_rendezvous_score (home_search->key, incarnation);
+      uint64_t score = rst_rendezvous_score (search->key, incarnation);
 
-      if (home_search->home == NULL || score > home_search->home_score)
+      if (search->home == NULL || score > search->home_score)
         {
-          home_search->home = incarnation;
-          home_search->home_score = score;
+          search->home = incarnation;
+          search->home_score = score;
         }
-      if (strcmp (incarnation, home_search->sched->incarnation) != 0
-          && is_stable (home_search, incarnation))
-        home_search->stable_score = MAX (home_search->stable_score, score);
+      if (strcmp (incarnation, search->sched->incarnation) != 0
+          && is_stable (search, incarnation))
+        search->stable_score = MAX (search->stable_score, score);
     }
 }
 
 /* Whether a lost member may have been the home within the window. */
 static bool
-may_have_lost_home (const struct home_search *home_search)
+may_have_lost_home (const struct home_search *search)
 {
-  struct rst_scheduler *sched = home_search->sched;
-  uint64_t min_score = home_search->stable_score;
+  struct rst_scheduler *sched = search->sched;
+  uint64_t min_score = search->stable_score;
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
 
   if (sched->joined_at != 0
-      && home_search->now - sched->joined_at >= home_search->window)
-    min_score = MAX (min_score, rst_rendezvous_score (home_search->key,
-                                                      sched->incarnation));
+      && search->now - sched->joined_at >= search->lookback_ms)
+    min_score = MAX (min_score,
+                     rst_rendezvous_score (search->key, sched->incarnation));
   g_hash_table_iter_init (&iterator, sched->member_history);
   while (g_hash_table_iter_next (&iterator, &name, &value))
     {
       const struct known_member *member = value;
 
       if (member->departed_at != 0
-          && home_search->now - member->departed_at < home_search->window
-          && rst_rendezvous_score (home_search->key, name) > min_score)
+          && search->now - member->departed_at < search->lookback_ms
+          && rst_rendezvous_score (search->key, name) > min_score)
         return true;
     }
   return false;
@@ -178,23 +178,22 @@
 /* Whether a live member may have taken the request as its home, because it
    did not know of this process until a short time ago. */
 static bool
-may_be_earlier_home (const struct home_search *home_search,
-                     const char *incarnation)
+may_be_earlier_home (const struct home_search *search, const char *incarnation)
 {
   const rst_ms *informed_at
-      = g_hash_table_lookup (home_search->sched->informed_peers, incarnation);
+      = g_hash_table_lookup (search->sched->informed_peers, incarnation);
 
-  if (strcmp (incarnation, home_search->sched->incarnation) == 0
-      || rst_rendezvous_score (home_search->key, incarnation)
-             < home_search->stable_score)
+  if (strcmp (incarnation, search->sched->incarnation) == 0
+      || rst_rendezvous_score (search->key, incarnation)
+             < search->stable_score)
     return false;
   return informed_at == NULL
-         || home_search->now - *informed_at < home_search->window;
+         || search->now - *informed_at < search->lookback_ms;
 }
 
 struct home_inquiry
 {
-  struct home_search *home_search;
+  struct home_search *search;
   struct query *query;
   bool unreachable;
 };
@@ -202,22 +201,22 @@
 static void
 ask_earlier_homes (const struct rst_zone *zone, void *userdata)
 {
-  struct home_inquiry *home_inquiry = userdata;
-  struct rst_scheduler *sched = home_inquiry->home_search->sched;
+  struct home_inquiry *inquiry = userdata;
+  struct rst_scheduler *sched = inquiry->search->sched;
   struct rst_message message = { 0 };
 
   message.type = RST_RECORD_ASK;
-  message.record.key = (char *)home_inquiry->home_search->key;
+  message.record.key = (char *)inquiry->search->key;
   for (int i = 0; i < zone->member_count; i++)
     {
       const char *incarnation = zone->members[i].incarnation;
 
-      if (!may_be_earlier_home (home_inquiry->home_search, incarnation))
+      if (!may_be_earlier_home (inquiry->search, incarnation))
         continue;
       if (sched_send (sched, sched_link_to (sched, incarnation), &message))
-        home_inquiry->query->pending_home_replies++;
+        inquiry->query->pending_home_replies++;
       else
-        home_inquiry->unreachable = true;
+        inquiry->unreachable = true;
     }
 }
 
@@ -226,26 +225,29 @@
 sched_record_check (struct query *query)
 {
   struct rst_scheduler *sched = query->sched;
-  struct home_search home_search
-      = { sched, query->record_key, sched_now (sched), window (sched), NULL, 0,
-          0 };
-  struct home_inquiry home_inquiry = { &home_search, query, false };
-
-  rst_settings_records (sched->settings, score_members, &home_search);
-  if (home_search.home == NULL
-      || strcmp (home_search.home, sched->incarnation) != 0)
+  struct home_search search = { sched,
+                                query->record_key,
+                                sched_now (sched),
+                                get_lookback_ms (sched),
+                                NULL,
+                                0,
+                                0 };
+  struct home_inquiry inquiry = { &search, query, false };
+
+  rst_settings_records (sched->settings, score_members, &search);
+  if (search.home == NULL || strcmp (search.home, sched->incarnation) != 0)
     return RECORD_ELSEWHERE;
   if (query->idempotent)
     return RECORD_NEW;
-  if (may_have_lost_home (&home_search))
+  if (may_have_lost_home (&search))
     return RECORD_IN_DOUBT;
-  rst_settings_records (sched->settings, ask_earlier_homes, &home_inquiry);
-  if (home_inquiry.unreachable)
+  rst_settings_records (sched->settings, ask_earlier_homes, &inquiry);
+  if (inquiry.unreachable)
     {
       query->pending_home_replies = 0;
       return RECORD_IN_DOUBT;
     }
-  query->home_reply_deadline = home_search.now + HOME_REPLY_TIMEOUT_MS;
+  query->home_reply_deadline = search.now + HOME_REPLY_TIMEOUT_MS;
   return query->pending_home_replies > 0 ? RECORD_AWAITING_REPLIES
                                          : RECORD_NEW;
 }
@@ -261,7 +263,7 @@
 
   g_strlcpy (record->key, key, sizeof record->key);
   record->home_moved = true;
-  record->expires_at = sched_now (sched) + window (sched);
+  record->expires_at = sched_now (sched) + get_lookback_ms (sched);
   g_hash_table_insert (sched->records, record->key, record);
 }
 
--- a/src/coordination/sched_store.c
+++ b/src/coordination/sched_store.c
@@ -120,7 +120,7 @@
     {
       for (int i = 0; i < reply->kv_count; i++)
         apply_kv (sched, &reply->kvs[i]);
-      watch->after = MAX (watch->after, reply->revision);
+      watch->after_revision = MAX (watch->after_revision, reply->revision);
     }
 }
 
@@ -141,7 +141,7 @@
     g_hash_table_remove_all (sched->alive_members);
   for (int i = 0; i < reply->kv_count; i++)
     apply_kv (sched, &reply->kvs[i]);
-  watch->after = reply->revision;
+  watch->after_revision = reply->revision;
   watch->listed = true;
 }
 
@@ -158,9 +158,9 @@
     sched->platform->store_list (sched->platform_data, watch->prefix,
                                  on_prefix_listed, watch);
   else
-    sched->platform->store_watch (sched->platform_data, watch->prefix,
-                                  watch->after, SCHED_WATCH_TIMEOUT_MS,
-                                  on_watch_reply, watch);
+    sched->platform->store_watch (
+        sched->platform_data, watch->prefix, watch->after_revision,
+        SCHED_WATCH_TIMEOUT_MS, on_watch_reply, watch);
 }
 
 void
@@ -199,22 +199,22 @@
 {
   struct rst_scheduler *sched = data;
   const struct rst_zone *zone;
-  bool ours = false;
+  bool is_own_write = false;
 
   if (reply->result == RST_PLATFORM_OK && reply->kv_count == 1)
     {
       sched_apply_branch (sched, reply->kvs[0].key, reply->kvs[0].revision,
                           reply->kvs[0].value);
       zone = sched_zone (sched);
-      ours = zone != NULL
-             && zone->write_number == sched->zone_writer.write_number
-             && strcmp (zone->writer, sched->incarnation) == 0;
-      finish_write (sched, ours);
+      is_own_write = zone != NULL
+                     && zone->write_number == sched->zone_writer.write_number
+                     && strcmp (zone->writer, sched->incarnation) == 0;
+      finish_write (sched, is_own_write);
     }
   else if (reply->result == RST_PLATFORM_NOT_FOUND)
     finish_write (sched, false);
   else
-    sched->zone_writer.read_at
+    sched->zone_writer.verify_at
         = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
 }
 
@@ -223,7 +223,7 @@
 {
   char *key = zone_key (sched);
 
-  sched->zone_writer.read_at = 0;
+  sched->zone_writer.verify_at = 0;
   sched->counters.store_reads++;
   sched->platform->store_get (sched->platform_data, key, on_record_read,
                               sched);
@@ -249,20 +249,20 @@
 
 bool
 sched_zone_update (struct rst_scheduler *sched,
-                   sched_zone_update_function mutate, void *data,
+                   sched_zone_update_function update, void *data,
                    void (*done) (struct rst_scheduler *, bool))
 {
   struct zone_writer *writer = &sched->zone_writer;
-  const struct rst_zone *present = sched_zone (sched);
+  const struct rst_zone *current = sched_zone (sched);
   struct rst_zone *zone;
   char *key;
 
   if (writer->busy || sched_now (sched) < writer->next_at
       || !sched->shared_watch.listed)
     return false;
-  zone = present != NULL ? rst_zone_copy (present)
+  zone = current != NULL ? rst_zone_copy (current)
                          : rst_zone_create (sched->config.zone);
-  if (!mutate (sched, zone, data))
+  if (!update (sched, zone, data))
     {
       rst_zone_destroy (zone);
       return false;
@@ -286,7 +286,7 @@
 {
   struct zone_writer *writer = &sched->zone_writer;
 
-  if (writer->busy && writer->read_at != 0
-      && sched_now (sched) >= writer->read_at)
+  if (writer->busy && writer->verify_at != 0
+      && sched_now (sched) >= writer->verify_at)
     read_record (sched);
 }
--- a/src/coordination/scheduler_private.h
+++ b/src/coordination/scheduler_private.h
@@ -66,7 +66,7 @@
   bool has_greeted;
   bool outgoing;
   bool is_probe;
-  uint64_t order;
+  uint64_t opened_order;
   uint64_t role;
   char name[RST_NAME_SIZE];
   char zone[RST_NAME_SIZE];
@@ -96,7 +96,7 @@
 {
   struct rst_scheduler *sched;
   const char *prefix;
-  uint64_t after;
+  uint64_t after_revision;
   bool listed;
   bool busy;
   rst_ms next_at;
@@ -107,7 +107,7 @@
 {
   bool busy;
   rst_ms next_at;
-  rst_ms read_at;
+  rst_ms verify_at;
   uint64_t write_number;
   char *text;
   void (*done) (struct rst_scheduler *sched, bool ok);
@@ -205,7 +205,7 @@
   uint32_t shrink_pending;
   uint32_t excess_runs;
   uint32_t cap;
-  uint64_t base;
+  uint64_t base_revision;
   uint32_t run_count;
   uint32_t handed_over;
   bool busy;
@@ -213,7 +213,7 @@
   char *text;
   char writer[RST_NAME_SIZE];
   rst_ms next_at;
-  rst_ms read_at;
+  rst_ms verify_at;
   CK_LIST_HEAD (handed_over_list, handed_over) handed_over_list;
   CK_LIST_HEAD (transfer_list, transfer) transfers;
   uint32_t burst_rejections;
@@ -297,9 +297,9 @@
   bool session_call_pending;
   bool lease_renewal_pending;
   rst_ms session_next_at;
-  uint64_t lease;
+  uint64_t lease_id;
   uint64_t member_record_revision;
-  uint64_t touch;
+  uint64_t member_write_number;
   bool member_write_pending;
   rst_ms member_write_next_at;
   char *declared_members;
@@ -395,7 +395,7 @@
 typedef bool (*sched_zone_update_function) (struct rst_scheduler *sched,
                                             struct rst_zone *zone, void *data);
 bool sched_zone_update (struct rst_scheduler *sched,
-                        sched_zone_update_function mutate, void *data,
+                        sched_zone_update_function update, void *data,
                         void (*done) (struct rst_scheduler *, bool));
 
 void sched_zone_writer_tick (struct rst_scheduler *sched);
