--- a/src/coordination/sched_instance.c
+++ b/src/coordination/sched_instance.c
@@ -1,8 +1,9 @@
 /**
- * DOC: sched_instance - the list of instances, adoption and renewal
+ * DOC: sched_instance - instances that are listed or owned, and their runs
  *
- * An instance is used only once it was told the owner's epoch and has listed
- * what it runs; from then on it refuses commands of older epochs.
+ * The platform lists the instances; the ownership record says who owns them.
+ * An owned instance is used only after it has been told the owner's epoch and
+ * has listed its runs; from then on it refuses commands with older epochs.
  */
 #include "coordination/sched_instance_private.h"
 
@@ -10,10 +11,11 @@
 
 #define LOG_PREFIX "instance"
 
-/** Failures in a row after which an instance gets no work for a while. */
+/** Failures in a row after which nothing is started on an instance for a
+ * while. */
 #define BREAKER_FAILURES 3
 
-/** First time for which a failing instance gets no work. */
+/** First period for which nothing is started on a failing instance. */
 #define BREAKER_FIRST_OPEN_MS 2000
 
 bool
@@ -26,6 +28,8 @@
          && rst_breaker_allows_request (&instance->breaker, sched_now (sched));
 }
 
+/* Adds a run to, or with a sign of -1 takes it from, the used resources of its
+   instance and the team's number of runs. */
 static void
 update_usage (struct run *run, int sign)
 {
@@ -57,6 +61,7 @@
   return run;
 }
 
+/* Frees the run's resources and its place in the team's part. */
 void
 sched_run_release_resources (struct run *run)
 {
@@ -66,6 +71,7 @@
   update_usage (run, -1);
 }
 
+/* Frees a run. */
 void
 sched_run_remove (struct run *run)
 {
@@ -76,6 +82,8 @@
   g_free (run);
 }
 
+/* Records the result of a task that has ended; the run stays until the end is
+   acknowledged. */
 void
 sched_run_end (struct run *run, uint64_t result)
 {
@@ -124,7 +132,8 @@
   return instance;
 }
 
-/* Detaches work that a call under way still refers to; frees the rest. */
+/* Frees the runs of an instance that is no longer owned.  Runs with pending
+   calls are only detached from it; the last call frees them. */
 static void
 release_runs (struct instance *instance, bool count_handed_over)
 {
@@ -152,8 +161,8 @@
 {
   if (instance->phase == INSTANCE_NOT_OWNED)
     return;
-  rst_info (LOG_PREFIX, "Instance is no longer owned.", "instance",
-            instance->info.name);
+  rst_info (LOG_PREFIX, "Instance is no longer owned by this scheduler.",
+            "instance", instance->info.name);
   instance->phase = INSTANCE_NOT_OWNED;
   instance->releasing = false;
   release_runs (instance, count_handed_over);
@@ -168,6 +177,7 @@
     drop_instance (g_ptr_array_index (sched->owned, 0), false);
 }
 
+/* Begins an ownership, also when the own one goes on under a new epoch. */
 static void
 begin_adoption (struct instance *instance, uint64_t epoch)
 {
@@ -182,7 +192,7 @@
   instance->next_inspect_at = 0;
   instance->last_report_at = sched_now (sched);
   instance->renewals_failed = 0;
-  /* Calls made under the old epoch no longer report here. */
+  /* Replies to calls made under an older epoch are ignored. */
   instance->inspection_pending = false;
   instance->renewal_pending = false;
   g_ptr_array_add (sched->owned, instance);
@@ -198,8 +208,9 @@
   if (!mine)
     {
       instance = g_hash_table_lookup (sched->instances, owned->instance);
-      /* Work that was handed over, one by one or by a planned stop, counts
-         here until the new owner has said that it counts it. */
+      /* Runs on an instance that was handed over, in a rebalance or a planned
+         stop, count here until the new owner announces that it counts
+         them. */
       if (instance != NULL)
         drop_instance (instance, instance->releasing || sched->stopping);
       return;
@@ -212,6 +223,7 @@
   instance->settled = owned->settled;
 }
 
+/* Applies a new revision of the own zone's ownership record. */
 void
 sched_instance_apply_zone (struct rst_scheduler *sched)
 {
@@ -237,7 +249,9 @@
   if (instance->listed && instance->info.leaving != info->leaving)
     {
       rst_info (LOG_PREFIX,
-                info->leaving ? "Instance is leaving." : "Instance is back.",
+                info->leaving
+                    ? "Instance is leaving; nothing is started on it."
+                    : "Instance is no longer leaving.",
                 "instance", info->name);
       sched->load_changed = true;
     }
@@ -284,6 +298,8 @@
          && strcmp (instance->info.zone, sched->config.zone) == 0;
 }
 
+/* Claims instances without an owner, as far as rendezvous hashing prefers this
+   member for them. */
 static bool
 claim_instances (struct rst_scheduler *sched, struct rst_zone *zone,
                  void *data)
@@ -299,7 +315,8 @@
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     if (is_claimable (sched, value))
       g_ptr_array_add (names, ((struct instance *)value)->info.name);
-  /* Instances that are listed no more need an owner to be forgotten. */
+  /* An instance that is no longer listed is claimed as well, since only its
+     owner removes it from the record. */
   for (int i = 0; current != NULL && i < current->owned_count; i++)
     if (current->owned[i].owner[0] == '\0')
       g_ptr_array_add (names, (gpointer)current->owned[i].instance);
@@ -310,6 +327,7 @@
   return count > 0;
 }
 
+/* Whether all runs are known and the own parts of the limits cover them. */
 static bool
 is_ready_to_settle (const struct instance *instance)
 {
@@ -321,6 +339,7 @@
   return instance->phase == INSTANCE_READY;
 }
 
+/* Whether an instance is no longer listed and can run nothing any more. */
 static bool
 is_removable (const struct instance *instance)
 {
@@ -332,6 +351,7 @@
                 > sched->config.task_lease_ms + TASK_LEASE_MARGIN_MS;
 }
 
+/* Marks instances as settled, and removes those that no longer exist. */
 static bool
 settle_instances (struct rst_scheduler *sched, struct rst_zone *zone)
 {
@@ -354,7 +374,8 @@
   return changed;
 }
 
-/* Instances that are idle move first; no start happens on one that moves. */
+/* Releases some of the instances that this member owns beyond its fair share.
+   Nothing is started on them unless the write turns out to have failed. */
 static bool
 release_instances (struct rst_scheduler *sched, struct rst_zone *zone)
 {
@@ -378,6 +399,7 @@
   return moved > 0;
 }
 
+/* Instances are released only when there is nothing else to write. */
 static bool
 update_zone (struct rst_scheduler *sched, struct rst_zone *zone, void *data)
 {
--- a/src/coordination/sched_instance_adopt.c
+++ b/src/coordination/sched_instance_adopt.c
@@ -1,26 +1,33 @@
-/* Adopting instances, and renewing the leases of their tasks. */
+/**
+ * DOC: sched_instance_adopt - adoption of owned instances, and renewal of the
+ * leases of their tasks
+ *
+ * An instance reports its runs when it is inspected and with each renewal.
+ */
 #include "coordination/sched_instance_private.h"
 
 #include <string.h>
 
 #define LOG_PREFIX "instance"
 
-/** Time between inspections of a runner with work of an earlier owner. */
+/** Time between two inspections of an instance that is being adopted, or that
+ * runs queries of an earlier owner. */
 #define INSPECT_INTERVAL_MS 1000
 
-/** Renewals in one task lease. */
+/** Number of renewals sent in one task lease. */
 #define RENEWALS_PER_LEASE 3
 
-/** Least time between two renewals of one worker. */
+/** Shortest time between two renewals of one worker. */
 #define RENEWAL_MIN_INTERVAL_MS 100
 
-/** Time after its declared end at which a task is looked at. */
+/** Delay after the declared end of a task before a renewal asks for it. */
 #define DECLARED_END_SLACK_MS 20
 
-/** Failed renewals after which no further one is sent. */
+/** Failed renewals in a row after which no further one is sent, so that the
+ * task leases can expire. */
 #define FAILED_RENEWALS_MAX 3
 
-/* A call about an instance; the instance may change hands meanwhile. */
+/* A call to an instance, which may change its owner before the reply. */
 struct instance_call
 {
   struct rst_scheduler *sched;
@@ -41,7 +48,8 @@
   return call;
 }
 
-/* The instance of a call, if it is still owned as it was; frees the call. */
+/* Frees the call.  Returns its instance, or NULL if that is no longer owned
+   under the same epoch and incarnation. */
 static struct instance *
 instance_call_finish (struct instance_call *call)
 {
@@ -66,6 +74,7 @@
   return NULL;
 }
 
+/* Adds a run that is new here, or records the end of a known one. */
 static void
 apply_reported_run (struct instance *instance, const struct rst_work *reported)
 {
@@ -83,8 +92,9 @@
     sched_run_end (run, (uint64_t)reported->result);
 }
 
-/* Work that the instance no longer knows has ended without a result.  Work
-   sent after the question was asked may be missing from its answer. */
+/* A run that the instance no longer reports has ended without a result.  Runs
+   that may have been started after the request was sent can be missing from
+   the report; they are left alone. */
 static void
 handle_unreported_runs (struct instance *instance,
                         const struct rst_platform_reply *reply)
@@ -137,7 +147,7 @@
   instance->sched->load_changed = true;
   g_snprintf (epoch, sizeof epoch, "%" G_GUINT64_FORMAT, instance->epoch);
   g_snprintf (count, sizeof count, "%d", running);
-  rst_info (LOG_PREFIX, "Instance was adopted.", "instance",
+  rst_info (LOG_PREFIX, "Instance was adopted; it can be used.", "instance",
             instance->info.name, "epoch", epoch, "running", count);
   sched_limit_announce_adopted (instance);
 }
@@ -212,7 +222,8 @@
   instance->renewal_pending = false;
   if (reply->result == RST_PLATFORM_FENCED)
     {
-      /* Another owns it; the ownership record will say so. */
+      /* The instance has another owner, whom the ownership record will name
+         shortly. */
       instance->next_renewal_at = sched_now (instance->sched)
                                   + instance->sched->config.task_lease_ms;
       return;
@@ -227,7 +238,8 @@
   apply_report (instance, reply);
 }
 
-/* Marks the ends that this renewal tells the worker to forget. */
+/* Lists the tasks whose ends the next renewal tells the worker to forget, and
+   marks them as told.  The list is to be freed with g_strfreev(). */
 static char **
 list_acknowledged_ends (struct instance *instance)
 {
@@ -244,7 +256,8 @@
   return (char **)g_ptr_array_free (ids, FALSE);
 }
 
-/* No renewal can have extended a lease beyond this time. */
+/* Whether no task lease can still be running: neither a renewal nor a start
+   can have extended one until now. */
 static bool
 leases_have_expired (const struct instance *instance)
 {
@@ -256,13 +269,16 @@
   CK_LIST_FOREACH (run, &instance->runs, entry)
   if (run->starting)
     return false;
-  /* Another owner, who would renew them, is ruled out by the tenure. */
+  /* While the tenure is held, no other member can own the instance and renew
+     the leases. */
   return instance->renewals_failed >= FAILED_RENEWALS_MAX
          && rst_tenure_is_held (sched->tenure, sched_now (sched))
          && sched_now (sched) - last
                 > sched->config.task_lease_ms + TASK_LEASE_MARGIN_MS;
 }
 
+/* Ends the tasks of a worker whose leases have expired, and has the worker
+   inspected again before it is used. */
 static void
 end_unreachable_tasks (struct instance *instance)
 {
@@ -271,7 +287,9 @@
   CK_LIST_FOREACH (run, &instance->runs, entry)
   if (!run->ended && !run->reserved && run->info.job[0] != '\0')
     {
-      rst_warning (LOG_PREFIX, "Instance is silent; its tasks have ended.",
+      rst_warning (LOG_PREFIX,
+                   "Instance is unreachable and its task leases have "
+                   "expired; the task is lost.",
                    "instance", instance->info.name, "task", run->info.id);
       sched_run_end (run, RST_TASK_LOST);
     }
@@ -279,7 +297,8 @@
   instance->phase = INSTANCE_ADOPTING;
 }
 
-/* When the next task should have ended by its declared run time. */
+/* When the next task ends by its declared run time, which is when a renewal
+   asks for it; INT64_MAX if there is none. */
 static rst_ms
 get_next_end (const struct instance *instance)
 {
@@ -291,7 +310,8 @@
     {
       rst_ms end = run->started_at + run->info.run_ms + DECLARED_END_SLACK_MS;
 
-      /* A task that runs longer than declared is followed by the renewals. */
+      /* A task that was asked for and runs longer than declared is asked for
+         by the periodic renewals only. */
       if (end > instance->renewal_sent_at)
         next = MIN (next, end);
     }
@@ -303,7 +323,7 @@
 {
   struct rst_scheduler *sched = instance->sched;
   rst_ms now = sched_now (sched);
-  char **seen;
+  char **acknowledged;
 
   if (instance->phase != INSTANCE_READY || instance->info.kind != RST_WORKER
       || CK_LIST_EMPTY (&instance->runs))
@@ -322,10 +342,10 @@
   instance->renewal_sent_at = now;
   instance->next_renewal_at
       = now + sched->config.task_lease_ms / RENEWALS_PER_LEASE;
-  seen = list_acknowledged_ends (instance);
+  acknowledged = list_acknowledged_ends (instance);
   sched->platform->task_renew (sched->platform_data, instance->info.address,
                                instance->epoch, sched->config.task_lease_ms,
-                               (const char *const *)seen, on_renewed,
+                               (const char *const *)acknowledged, on_renewed,
                                instance_call_create (instance));
-  g_strfreev (seen);
+  g_strfreev (acknowledged);
 }
--- a/src/coordination/sched_member.c
+++ b/src/coordination/sched_member.c
@@ -1,9 +1,10 @@
 /**
- * DOC: sched_member - registration, tenure and take-over
+ * DOC: sched_member - registration, tenure and takeover
  *
- * A process registers in three steps: a key under its store lease, a register
- * of its own that arbitrates its tenure, and its entry in the ownership
- * record.  docs/OWNERSHIP.md gives the argument why no two owners arise.
+ * A process registers in three steps.  It writes its alive key, which the
+ * store deletes when the store lease expires; its member record, which other
+ * members overwrite to end its tenure; and its entry in the ownership record.
+ * docs/OWNERSHIP.md gives the argument why an instance never has two owners.
  */
 #include "coordination/sched_member_private.h"
 
@@ -12,7 +13,7 @@
 
 #define LOG_PREFIX "member"
 
-/** Renewals in one time to live of the lease. */
+/** Number of renewals sent in one time to live of the store lease. */
 #define RENEWALS_PER_LEASE 3
 
 char *
@@ -30,6 +31,8 @@
   return g_strdup_printf ("members/%s/%s", sched->config.zone, incarnation);
 }
 
+/* Starts anew under a name that was never used; the caller has freed what
+   belonged to the incarnation before. */
 static void
 begin_incarnation (struct rst_scheduler *sched)
 {
@@ -89,11 +92,13 @@
     }
 }
 
-/* Another member has ended this tenure: all rights are gone. */
+/* Another member has ended this tenure: drops all instances, parts of limits
+   and jobs, and goes on as a new incarnation. */
 static void
 handle_tenure_lost (struct rst_scheduler *sched)
 {
-  rst_warning (LOG_PREFIX, "Tenure was ended by another member.",
+  rst_warning (LOG_PREFIX,
+               "Another member ended the tenure; all instances are dropped.",
                "incarnation", sched->incarnation);
   sched->counters.fenced++;
   rst_tenure_end (sched->tenure);
@@ -106,6 +111,8 @@
   sched->load_changed = true;
 }
 
+/* The incarnations of all members as one text, to be compared with others and
+   freed with g_free(). */
 static char *
 format_members (const struct rst_zone *zone)
 {
@@ -116,6 +123,7 @@
   return g_string_free (text, FALSE);
 }
 
+/* The write of the member record has taken effect. */
 static void
 finish_member_write (struct rst_scheduler *sched, uint64_t revision,
                      rst_ms sent_at)
@@ -135,12 +143,14 @@
       sched->session = SESSION_REGISTERED;
       sched->lease_renewal_next_at = 0;
       rst_info (LOG_PREFIX, "Registered.", "incarnation", sched->incarnation);
-      /* The lease counts from its grant, not from this write. */
+      /* The lease began with its grant, before this write. */
       rst_tenure_record_renewal (sched->tenure,
                                  MIN (sched->lease_granted_at, sent_at));
     }
 }
 
+/* Tells from the stored member record whether the write under way has taken
+   effect, and whether another member has ended the tenure. */
 static void
 on_own_record_read (const struct rst_platform_reply *reply, void *data)
 {
@@ -204,7 +214,7 @@
     read_own_record (sched);
 }
 
-/* Writes the own register; with it the newest view is declared. */
+/* Writes the own member record, and with it declares the newest view. */
 static void
 write_own_record (struct rst_scheduler *sched)
 {
@@ -304,8 +314,9 @@
     rst_tenure_record_renewal (sched->tenure, reply->sent_at);
   else if (reply->result == RST_PLATFORM_NOT_FOUND)
     {
-      rst_warning (LOG_PREFIX, "Store lease has lapsed.", "incarnation",
-                   sched->incarnation);
+      rst_warning (LOG_PREFIX,
+                   "Store lease has expired; the process registers again.",
+                   "incarnation", sched->incarnation);
       rst_tenure_drop_lease (sched->tenure);
       sched->session = SESSION_NONE;
     }
@@ -327,6 +338,7 @@
                                on_lease_renewed, sched);
 }
 
+/* Takes the next step of the registration, or renews the lease. */
 static void
 session_tick (struct rst_scheduler *sched)
 {
@@ -374,8 +386,9 @@
 on_joined (struct rst_scheduler *sched, bool ok)
 {
   if (ok)
-    rst_info (LOG_PREFIX, "Joined the ownership record.", "incarnation",
-              sched->incarnation);
+    rst_info (LOG_PREFIX,
+              "The ownership record lists this process as a member.",
+              "incarnation", sched->incarnation);
 }
 
 bool
@@ -395,7 +408,8 @@
     sched_zone_update (sched, add_self, NULL, on_joined);
 }
 
-/* Declares a view anew when the members differ from those declared. */
+/* Declares the newest view if its members differ from those of the view that
+   was declared last. */
 static void
 declare_tick (struct rst_scheduler *sched)
 {
@@ -430,8 +444,8 @@
   CK_LIST_INSERT_HEAD (&sched->takeovers, takeover, entry);
 }
 
-/* A process that listens on the same address proves that this member has
-   stopped. */
+/* Only one process can listen on an address, so another member recorded with
+   the own address has stopped. */
 static void
 note_stopped_predecessors (struct rst_scheduler *sched,
                            const struct rst_zone *zone)
@@ -442,7 +456,7 @@
       sched_member_note_stopped (sched, zone->members[i].incarnation);
 }
 
-/* Notes the order in which members were first recorded. */
+/* Notes the order in which members were first found in the record. */
 static void
 record_first_seen (struct rst_scheduler *sched, const struct rst_zone *zone)
 {
@@ -460,7 +474,8 @@
     }
 }
 
-/* Jobs of a member that has left need a new owner. */
+/* Lists the jobs at once when members have changed, since the jobs of a member
+   that has left need a new owner. */
 static void
 update_member_list (struct rst_scheduler *sched, const struct rst_zone *zone)
 {
@@ -473,6 +488,8 @@
   sched->last_member_list = members;
 }
 
+/* The order in which the member was first found in the ownership record;
+   UINT64_MAX if it never was. */
 uint64_t
 sched_member_get_first_seen (const struct rst_scheduler *sched,
                              const char *incarnation)
@@ -483,6 +500,7 @@
   return order != NULL ? *order : UINT64_MAX;
 }
 
+/* Applies a new revision of the own zone's ownership record. */
 void
 sched_member_apply_zone (struct rst_scheduler *sched)
 {
@@ -564,6 +582,8 @@
                              (rst_ms)message->promise.duration_ms);
 }
 
+/* Gives each own instance to one of the other live members, if there is any,
+   and removes this process from the members. */
 static bool
 hand_over_and_leave (struct rst_scheduler *sched, struct rst_zone *zone,
                      void *data)
@@ -592,7 +612,7 @@
 {
   if (!ok)
     return;
-  rst_info (LOG_PREFIX, "Handed all instances over.");
+  rst_info (LOG_PREFIX, "All instances have been handed over.");
   sched->handover_done = true;
   sched_member_delete_record (sched, sched->incarnation);
   sched->counters.store_writes++;
@@ -600,6 +620,9 @@
                                sched_ignore_reply, sched);
 }
 
+/* Hands the instances over before a planned stop.  A process that is no
+   member, or could not reach the store in half the drain time, stops without
+   it. */
 static void
 stop_tick (struct rst_scheduler *sched)
 {
@@ -624,7 +647,9 @@
     {
       sched->tenure_was_held = held;
       sched->load_changed = true;
-      rst_info (LOG_PREFIX, held ? "Tenure is held." : "Tenure is not held.",
+      rst_info (LOG_PREFIX,
+                held ? "Tenure is held; runs may be started."
+                     : "Tenure is not held; nothing is started.",
                 "incarnation", sched->incarnation);
     }
   if (sched->stopping)
--- a/src/coordination/sched_member_takeover.c
+++ b/src/coordination/sched_member_takeover.c
@@ -1,4 +1,10 @@
-/* Taking over from members that are silent. */
+/**
+ * DOC: sched_member_takeover - ending the tenure of members that are silent or
+ * have stopped
+ *
+ * A takeover fences the member by overwriting its member record, then removes
+ * it from the ownership record, which leaves its instances to be claimed.
+ */
 #include "coordination/sched_member_private.h"
 
 #include <stdlib.h>
@@ -6,9 +12,12 @@
 
 #define LOG_PREFIX "member"
 
-/** Head start of each rank when several may end a tenure. */
+/** Delay before fencing for each live member that ranks before this one, so
+ * that the members seldom try at the same time. */
 #define TAKEOVER_DELAY_PER_RANK_MS 400
 
+/* Ends an attempt that failed; while the member is not fenced, it is given
+   promises again. */
 static void
 delay_takeover (struct takeover *takeover)
 {
@@ -30,14 +39,17 @@
     {
       takeover->fenced = true;
       takeover->busy = false;
-      rst_info (LOG_PREFIX, "Ended the tenure of a member.", "member",
-                takeover->member);
+      rst_info (LOG_PREFIX,
+                "Tenure of a member was ended; its instances are reassigned.",
+                "member", takeover->member);
       takeover->sched->counters.takeovers++;
     }
   else
     delay_takeover (takeover);
 }
 
+/* Overwrites the member record as it was read; a member that has written since
+   keeps its tenure. */
 static void
 write_fence (struct takeover *takeover)
 {
@@ -87,8 +99,9 @@
   g_free (key);
 }
 
-/* The member's register is read before its lease: had it come back between
-   the two, the write of the fence would find another revision. */
+/* The member record is read before the alive key: if the member registers
+   again between the two reads, the write of the fence finds another revision
+   and fails. */
 static void
 on_member_read (const struct rst_platform_reply *reply, void *data)
 {
@@ -122,6 +135,8 @@
     read_alive_key (takeover);
 }
 
+/* Reads the member record.  The member gets no more promises meanwhile, which
+   could prolong its tenure. */
 static void
 begin_fence (struct takeover *takeover)
 {
@@ -169,7 +184,7 @@
   g_free (key);
 }
 
-/* Own place among the members that may end a tenure. */
+/* Number of live members that precede this one in the ownership record. */
 static int
 get_own_rank (const struct rst_scheduler *sched, const struct rst_zone *zone,
               const char *excluded)
@@ -189,6 +204,8 @@
   return rank;
 }
 
+/* Fences a member that has stopped at once, any other once it has been silent
+   for long enough. */
 static void
 takeover_tick (struct takeover *takeover, const struct rst_zone *zone)
 {
@@ -207,6 +224,7 @@
     begin_fence (takeover);
 }
 
+/* Adds takeovers of members without an alive key or known to have stopped. */
 static void
 add_missing_members (struct rst_scheduler *sched, const struct rst_zone *zone)
 {
@@ -222,6 +240,7 @@
     }
 }
 
+/* Drops the takeovers of members that are removed or that are alive again. */
 static void
 drop_finished_takeovers (struct rst_scheduler *sched,
                          const struct rst_zone *zone)
@@ -231,14 +250,14 @@
   while (takeover != NULL)
     {
       struct takeover *next = CK_LIST_NEXT (takeover, entry);
-      bool gone = rst_zone_find_member (zone, takeover->member) == NULL;
-      bool back
+      bool is_removed = rst_zone_find_member (zone, takeover->member) == NULL;
+      bool is_alive
           = !takeover->fenced && !is_known_stopped (takeover)
             && g_hash_table_contains (sched->alive_members, takeover->member);
 
-      if (!takeover->busy && (gone || back))
+      if (!takeover->busy && (is_removed || is_alive))
         {
-          if (gone && takeover->fenced)
+          if (is_removed && takeover->fenced)
             sched_member_delete_record (sched, takeover->member);
           CK_LIST_REMOVE (takeover, entry);
           g_free (takeover);
@@ -257,7 +276,7 @@
   if (zone == NULL || !sched->shared_watch.listed)
     return;
   drop_finished_takeovers (sched, zone);
-  /* A member acts as one only while its own lease stands. */
+  /* Only a member with a store lease of its own ends the tenure of others. */
   if (!sched_member_is_registered (sched))
     return;
   add_missing_members (sched, zone);
@@ -270,6 +289,8 @@
     sched_zone_update (sched, remove_fenced, NULL, ignore_removal_result);
 }
 
+/* Records that a member has stopped for certain: it can be fenced at once, and
+   the own tenure may do without its promises. */
 void
 sched_member_note_stopped (struct rst_scheduler *sched,
                            const char *incarnation)
@@ -280,8 +301,8 @@
                                  sched_now (sched));
   if (!g_hash_table_contains (sched->stopped_members, incarnation))
     {
-      rst_info (LOG_PREFIX, "A member has certainly stopped.", "member",
-                incarnation);
+      rst_info (LOG_PREFIX, "Member has stopped; its tenure will be ended.",
+                "member", incarnation);
       g_hash_table_add (sched->stopped_members, g_strdup (incarnation));
     }
 }
