--- a/src/coordination/sched_limit.c
+++ b/src/coordination/sched_limit.c
@@ -1,9 +1,10 @@
 /**
  * DOC: sched_limit - parts of the teams' upper limits
  *
- * Work is started only within the part that this scheduler holds.  Parts grow
- * ahead of need and return when others ask, each by compare-and-swap on one
- * record a team.  Only its holder lowers a part, unless its tenure has ended.
+ * Each scheduler holds a part of a team's upper limit and starts runs only
+ * within it.  Parts grow ahead of need and shrink when other members need
+ * them, by compare-and-swap on one limit record for each team.  Only its
+ * holder lowers a part, or any member once the holder's tenure has ended.
  */
 #include "coordination/scheduler_private.h"
 
@@ -12,13 +13,13 @@
 
 #define LOG_PREFIX "limit"
 
-/** Time for which a demand counts after it was last seen. */
+/** Time for which rejected starts count as demand after the last of them. */
 #define DEMAND_TTL_MS 1500
 
-/** Refusals closer together than this belong to one burst. */
+/** Time between two rejections below which they belong to one burst. */
 #define REJECTION_BURST_MS 50
 
-/* Work left on an instance that was handed to another member. */
+/* Runs of one team on one instance that was handed over. */
 struct handed_over
 {
   char instance[RST_NAME_SIZE];
@@ -26,6 +27,8 @@
   CK_LIST_ENTRY (handed_over) entry;
 };
 
+/* A share of the own part that is to be passed to the new owner of an
+   instance; @written once the write under way contains it. */
 struct transfer
 {
   char receiver[RST_NAME_SIZE];
@@ -34,6 +37,7 @@
   CK_LIST_ENTRY (transfer) entry;
 };
 
+/* The team's upper limit on runs in all zones; 0 for an unknown team. */
 uint32_t
 sched_limit_get_upper (const struct rst_scheduler *sched, const char *team)
 {
@@ -94,6 +98,7 @@
   g_free (team);
 }
 
+/* Whether the own part has room for one more run. */
 bool
 sched_limit_allows_start (const struct team *team)
 {
@@ -114,6 +119,7 @@
          || team->run_count + team->handed_over <= team->granted;
 }
 
+/* Gives up all parts, because the own tenure has ended. */
 void
 sched_limit_reset (struct rst_scheduler *sched)
 {
@@ -130,8 +136,7 @@
     }
 }
 
-/* ---- Hand-over of work that runs -----------------------------------------
- */
+/* ---- Runs on instances that were handed over --------------------------- */
 
 void
 sched_limit_add_handed_over (struct team *team, const char *instance)
@@ -186,6 +191,8 @@
     }
 }
 
+/* Tells the schedulers of the zone how many runs of each team now count here.
+   The last message, without a team, says that there are no others. */
 void
 sched_limit_announce_adopted (const struct instance *instance)
 {
@@ -215,7 +222,8 @@
   CK_LIST_INSERT_HEAD (&team->transfers, transfer, entry);
 }
 
-/* The new owner counts this work from now on; its part moves there. */
+/* The new owner of an instance counts @count of the team's runs there from now
+   on.  They no longer count here, and their share of the own part moves. */
 static void
 move_adopted (struct team *team, const char *instance, const char *receiver,
               uint32_t count)
@@ -233,7 +241,7 @@
 
           if (moved > 0)
             {
-              /* No longer usable here, from before the write is sent. */
+              /* Not usable here from before the write is sent. */
               team->granted -= moved;
               add_transfer (team, receiver, moved);
             }
@@ -264,9 +272,10 @@
     }
 }
 
-/* ---- The record ----------------------------------------------------------
- */
+/* ---- The limit record -------------------------------------------------- */
 
+/* Applies a revision of a team's limit record unless it is known.  What
+   transfers and the write under way give up stays unusable. */
 void
 sched_limit_apply_record (struct rst_scheduler *sched, const char *name,
                           uint64_t revision, const char *value)
@@ -282,7 +291,8 @@
   if (rst_limit_parse (value[0] != '\0' ? value : NULL, revision, &limit)
       != RST_OK)
     {
-      rst_warning (LOG_PREFIX, "Limit record is unsound.", "team", name);
+      rst_warning (LOG_PREFIX, "Limit record is malformed; it is ignored.",
+                   "team", name);
       return;
     }
   team->limit = limit;
@@ -334,7 +344,7 @@
     }
 }
 
-/* What this scheduler itself wrote has taken effect. */
+/* The write under way has taken effect at this revision. */
 static void
 apply_own_write (struct team *team, uint64_t revision)
 {
@@ -348,7 +358,7 @@
   g_free (text);
 }
 
-/* Tells from a record whether the write under way has taken effect. */
+/* Whether a record is the result of the write under way or based on it. */
 static bool
 is_own_write (const struct team *team, struct rst_limit *limit)
 {
@@ -358,8 +368,8 @@
   return part != NULL && part->write_number == team->write_number;
 }
 
-/* The same write again: while the revision stands, an earlier sending of it
-   may still arrive. */
+/* Sends the write under way.  If its outcome is unknown, the same write is
+   sent again: while the record is unchanged, the first may still arrive. */
 static void
 send_write (struct team *team)
 {
@@ -431,7 +441,7 @@
   struct rst_scheduler *sched = team->sched;
   struct rst_limit_part *own;
 
-  /* The part carries the number of the write, so there must be one. */
+  /* The own part carries the number of the write, so it must exist. */
   if (rst_limit_find_part (limit, sched->incarnation) == NULL)
     rst_limit_grow_part (limit, sched->incarnation, 0, 0);
   own = rst_limit_find_part (limit, sched->incarnation);
@@ -445,11 +455,10 @@
   send_write (team);
 }
 
-/* ---- Decisions ------------------------------------------------------------
- */
+/* ---- Changes of the limit record --------------------------------------- */
 
-/* Whether an incarnation of this zone has surely left it, with all its
-   instances settled under others. */
+/* Whether an incarnation belongs to this zone but is not a member of it, so
+   that its tenure has ended. */
 static bool
 has_left_zone (const struct rst_scheduler *sched, const char *holder)
 {
@@ -461,6 +470,8 @@
          && rst_zone_find_member (zone, holder) == NULL;
 }
 
+/* Whether each instance of the zone is settled, so that the runs of all former
+   members are counted by present ones. */
 static bool
 is_zone_settled (const struct rst_scheduler *sched)
 {
@@ -498,7 +509,8 @@
   return changed;
 }
 
-/* Takes what uncovered work needs from parts of members that are gone. */
+/* Takes what runs here need and the own part lacks from the parts of members
+   that have left the zone. */
 static bool
 take_parts_of_departed (struct team *team, struct rst_limit *limit,
                         uint32_t need)
@@ -525,6 +537,8 @@
   return changed;
 }
 
+/* Removes the parts of members that have left the zone, once no run can need
+   them any more. */
 static bool
 remove_parts_of_departed (struct team *team, struct rst_limit *limit)
 {
@@ -556,8 +570,8 @@
     team->burst_rejections++;
   else
     team->burst_rejections = 1;
-  /* The places of a gang that was refused are given back before the part
-     can grow, so the whole need is kept, not what is missing. */
+  /* A gang that was rejected releases its reservations before the part can
+     grow, so the whole need is recorded and not what is missing now. */
   if (now - team->last_rejection_at >= DEMAND_TTL_MS)
     team->demanded_runs = 0;
   team->demanded_runs
@@ -565,6 +579,7 @@
   team->last_rejection_at = now;
 }
 
+/* Queued queries, and tasks whose starts were rejected lately. */
 static uint32_t
 get_demand (const struct team *team)
 {
@@ -578,6 +593,8 @@
   return team->queued + tasks;
 }
 
+/* Raises the own part to the need, as far as the limit leaves room, and
+   records what is still wanted. */
 static bool
 grow_part (struct team *team, struct rst_limit *limit, uint32_t upper)
 {
@@ -599,6 +616,8 @@
          && (part->granted != granted_before || part->wanted != wanted_before);
 }
 
+/* Lowers the own part when others need it or the limit was lowered, though not
+   below the runs that count here. */
 static bool
 shrink_part (struct team *team, struct rst_limit *limit, uint32_t upper)
 {
@@ -614,19 +633,20 @@
   target = rst_limit_get_target_part (limit, team->sched->incarnation, upper,
                                       in_use, get_demand (team));
   team->excess_runs = in_use > target ? in_use - target : 0;
-  /* Until the part is lowered, nothing starts beyond what will remain. */
+  /* Nothing is started beyond the target until the part is lowered. */
   if (rst_limit_sum_granted (limit) > upper)
     team->cap = target;
   target = MAX (target, in_use);
   if (target >= part->granted)
     return false;
-  /* Given up here before the write is sent. */
+  /* What is given up must not be used from before the write is sent. */
   team->shrink_pending = part->granted - target;
   team->granted = MIN (team->granted, target);
   rst_limit_shrink_part (limit, team->sched->incarnation, target);
   return true;
 }
 
+/* Parts are resized only when none has to be moved between members. */
 static bool
 update_limit (struct team *team, struct rst_limit *limit, uint32_t upper)
 {
--- a/src/coordination/sched_peer.c
+++ b/src/coordination/sched_peer.c
@@ -1,9 +1,9 @@
 /**
  * DOC: sched_peer - links to other processes
  *
- * Schedulers connect to the members of all zones; entries connect to them.
- * Branches spread over these links, so that one process that reaches the
- * store informs those that do not.
+ * Schedulers connect to the members of all zones; entries connect to
+ * schedulers.  The branches of the settings are passed on over these links, so
+ * that processes that cannot reach the store learn them from one that can.
  */
 #include "coordination/scheduler_private.h"
 
@@ -11,10 +11,10 @@
 
 #define LOG_PREFIX "peer"
 
-/** Time between two attempts to connect to peers. */
+/** Mean time between two attempts to connect to peers. */
 #define CONNECT_INTERVAL_MS 500
 
-/** Digests that must differ before all branches are sent again. */
+/** Digests in a row that must differ before all branches are sent again. */
 #define MISMATCHES_BEFORE_RESEND 2
 
 struct peer *
@@ -87,7 +87,8 @@
   sched_send (sched, link, &message);
 }
 
-/* Sends the branches that are newer than a revision to one peer. */
+/* Argument of push_branch(): the receiver, and the revision above which
+   branches are sent. */
 struct push
 {
   struct rst_scheduler *sched;
@@ -114,6 +115,7 @@
   rst_settings_visit (sched->settings, push_branch, &push);
 }
 
+/* Passes a branch that was applied here on to the entries. */
 void
 sched_peer_push_branch (struct rst_scheduler *sched, const char *key,
                         uint64_t revision, const char *value)
@@ -126,7 +128,8 @@
     {
       const struct peer *peer = item;
 
-      /* Schedulers hear of it from the store, or else by the digests. */
+      /* Schedulers watch the store, or else receive branches when digests
+         differ. */
       if (peer->has_greeted && peer->role == RST_ROLE_ENTRY)
         send_branch (sched, peer->link, key, revision, value);
     }
@@ -149,10 +152,10 @@
   return peer;
 }
 
-/* A member that is recorded at this address has stopped if another one
-   answers there on a link that was opened after the member was recorded.  An
-   incoming link proves nothing, since its greeting may be older than the
-   record; a link is opened to find out. */
+/* A member that is recorded at the peer's address has stopped if another
+   incarnation answers there on a link that was opened after the member was
+   recorded.  An incoming link proves nothing, since its hello may have been
+   sent before the member was recorded; then a link is opened as a probe. */
 static void
 check_member_stopped (struct rst_scheduler *sched, const struct peer *peer,
                       const struct rst_member *member)
@@ -202,7 +205,8 @@
   const struct rst_hello *hello = &message->hello;
   bool first = !peer->has_greeted;
 
-  /* The same process goes on under another incarnation. */
+  /* A process that greets again under a new incarnation has given up its old
+     one. */
   if (!first && strcmp (peer->incarnation, hello->incarnation) != 0)
     sched_member_note_stopped (sched, peer->incarnation);
   copy_hello (peer, hello);
@@ -215,7 +219,8 @@
     }
   else if (first)
     {
-      rst_debug (LOG_PREFIX, "Peer is known.", "peer", peer->incarnation);
+      rst_debug (LOG_PREFIX, "Peer has sent its hello.", "peer",
+                 peer->incarnation);
       push_newer_branches (sched, peer->link, 0);
       sched->load_changed = true;
     }
@@ -227,12 +232,14 @@
 {
   (void)sched;
   peer->load = message->load;
-  /* The strings belong to the message. */
+  /* The strings are freed with the message. */
   peer->load.incarnation = NULL;
   peer->load.zone = NULL;
   peer->has_load = true;
 }
 
+/* Sends the peer the branches that it lacks.  If its settings still differ
+   after that, it has another version of an older branch, and all are sent. */
 void
 sched_peer_handle_digest (struct rst_scheduler *sched, struct peer *peer,
                           const struct rst_message *message)
@@ -269,7 +276,8 @@
 {
   struct rst_scheduler *sched = userdata;
 
-  /* Of two members the one with the lesser address connects. */
+  /* Of two members the one with the lower address connects, so that there is
+     one link between them. */
   for (int i = 0; i < zone->member_count; i++)
     if (strcmp (sched->config.address, zone->members[i].address) < 0)
       connect_to (sched, zone->members[i].address);
--- a/src/coordination/sched_record.c
+++ b/src/coordination/sched_record.c
@@ -1,10 +1,11 @@
 /**
- * DOC: sched_record - request ids whose home changes
+ * DOC: sched_record - request ids whose home has moved
  *
- * The home of a request id is the member that rendezvous hashing picks.  When
- * members come and go, the home of some ids moves.  A new home runs such a
- * request only once it is sure that no earlier home has run it: it asks those
- * that live, and says "unknown" when one of them is lost.
+ * The home of a request id is the member that rendezvous hashing picks; it
+ * keeps the request record by which repeats are recognised.  When members come
+ * and go, the home of some ids moves.  The new home runs such a request only
+ * if no earlier home can have run it: it asks the earlier homes that are still
+ * members, and answers "unknown" when one of them has departed.
  */
 #include "coordination/scheduler_private.h"
 
@@ -12,13 +13,14 @@
 
 #define LOG_PREFIX "record"
 
-/** How long the answers of earlier homes are waited for. */
+/** How long the replies of earlier homes are awaited. */
 #define HOME_REPLY_TIMEOUT_MS 500
 
-/* What this process has seen of a member. */
+/* When this process first found a member in an ownership record, and when it
+   found it departed; 0 if it has not. */
 struct known_member
 {
-  rst_ms first_seen;
+  rst_ms first_seen_at;
   rst_ms departed_at;
 };
 
@@ -46,7 +48,8 @@
   sched->joined_at = 0;
 }
 
-/* How long after an event an earlier run must still be reckoned with. */
+/* How long after a home has moved the earlier home may still run a request, or
+   hold the record of one that it ran. */
 static rst_ms
 get_lookback_ms (const struct rst_scheduler *sched)
 {
@@ -63,7 +66,7 @@
   if (member != NULL)
     return member;
   member = g_new0 (struct known_member, 1);
-  member->first_seen = sched_now (sched);
+  member->first_seen_at = sched_now (sched);
   g_hash_table_insert (sched->member_history, g_strdup (incarnation), member);
   return member;
 }
@@ -87,25 +90,28 @@
     sched->joined_at = sched_now (sched);
 }
 
-/* A peer that holds the same records knows that this process is a member. */
+/* Records when a peer was first found to hold the same settings and ownership
+   records, and so to know that this process is a member. */
 void
 sched_record_note_informed (struct rst_scheduler *sched,
                             const struct peer *peer)
 {
-  rst_ms *at;
+  rst_ms *informed_at;
 
   if (sched->joined_at == 0
       || g_hash_table_contains (sched->informed_peers, peer->incarnation))
     return;
-  at = g_new (rst_ms, 1);
-  *at = sched_now (sched);
+  informed_at = g_new (rst_ms, 1);
+  *informed_at = sched_now (sched);
   g_hash_table_insert (sched->informed_peers, g_strdup (peer->incarnation),
-                       at);
+                       informed_at);
 }
 
-/* ---- Who may have been the home
- * --------------------------------------------- */
+/* ---- Who may have been the home ---------------------------------------- */
 
+/* Search for the homes of a key.  @stable_score is the highest score of the
+   other members that have been there for the whole lookback: a member with a
+   lower score cannot have been the home in that time. */
 struct home_search
 {
   struct rst_scheduler *sched;
@@ -117,6 +123,7 @@
   uint64_t stable_score;
 };
 
+/* Whether a member has been known for the whole lookback. */
 static bool
 is_stable (const struct home_search *search, const char *incarnation)
 {
@@ -124,9 +131,10 @@
       = g_hash_table_lookup (search->sched->member_history, incarnation);
 
   return member != NULL
-         && search->now - member->first_seen >= search->lookback_ms;
+         && search->now - member->first_seen_at >= search->lookback_ms;
 }
 
+/* Finds the present home and the stable score among the members of a zone. */
 static void
 score_members (const struct rst_zone *zone, void *userdata)
 {
@@ -148,7 +156,7 @@
     }
 }
 
-/* Whether a lost member may have been the home within the window. */
+/* Whether a departed member may have been the home within the lookback. */
 static bool
 may_have_lost_home (const struct home_search *search)
 {
@@ -175,8 +183,8 @@
   return false;
 }
 
-/* Whether a live member may have taken the request as its home, because it
-   did not know of this process until a short time ago. */
+/* Whether a present member may have run the request as its home, because it
+   has not known of this process for the whole lookback. */
 static bool
 may_be_earlier_home (const struct home_search *search, const char *incarnation)
 {
@@ -191,6 +199,8 @@
          || search->now - *informed_at < search->lookback_ms;
 }
 
+/* An inquiry about a query at its earlier homes; @unreachable if there is no
+   link to one of them. */
 struct home_inquiry
 {
   struct home_search *search;
@@ -220,7 +230,8 @@
     }
 }
 
-/* Decides whether a request whose id is not known here may be run. */
+/* Decides whether a request that is not known here may be run.  Earlier homes
+   are not asked about an idempotent one, since it may run twice. */
 enum record_check
 sched_record_check (struct query *query)
 {
@@ -252,10 +263,10 @@
                                          : RECORD_NEW;
 }
 
-/* ---- Messages
- * ------------------------------------------------------------------ */
+/* ---- Messages ---------------------------------------------------------- */
 
-/* After "nothing" was said, the request must not run here any more. */
+/* Once another member has been told that a request is not known here, it must
+   not run here. */
 static void
 mark_home_moved (struct rst_scheduler *sched, const char *key)
 {
@@ -298,6 +309,7 @@
   sched_send (sched, link, &reply);
 }
 
+/* Ends a query with the outcome that an earlier home has recorded. */
 static void
 end_with_recorded_answer (struct query *query,
                           const struct rst_record_message *record)
--- a/src/coordination/sched_store.c
+++ b/src/coordination/sched_store.c
@@ -1,5 +1,8 @@
 /**
- * DOC: sched_store - watches of the store and the ownership record
+ * DOC: sched_store - watches of the store, and writes of the ownership record
+ *
+ * All changes of the own zone's ownership record pass through here, one at a
+ * time, each by compare-and-swap on the revision last seen.
  */
 #include "coordination/scheduler_private.h"
 
@@ -13,7 +16,7 @@
 
 /* ---- Branches ---------------------------------------------------------- */
 
-/* Operators vouch that these members have stopped. */
+/* Operators list in the settings members that they know to have stopped. */
 static void
 note_stopped_members (struct rst_scheduler *sched)
 {
@@ -26,6 +29,7 @@
   g_strfreev (list);
 }
 
+/* Passes a branch that was applied on, and updates what depends on it. */
 static void
 handle_applied_branch (struct rst_scheduler *sched, const char *key,
                        uint64_t revision, const char *value)
@@ -34,7 +38,8 @@
 
   g_snprintf (text, sizeof text, "%" G_GUINT64_FORMAT, revision);
   if (g_str_has_prefix (key, RST_KEY_SETTINGS))
-    rst_info ("settings", "Branch is in force.", "key", key, "revision", text);
+    rst_info ("settings", "Settings branch was applied.", "key", key,
+              "revision", text);
   sched_peer_push_branch (sched, key, revision, value);
   if (strcmp (key, RST_KEY_CELL) == 0)
     note_stopped_members (sched);
@@ -56,6 +61,7 @@
   sched->load_changed = true;
 }
 
+/* Applies a branch from the store or a peer, unless its revision is known. */
 void
 sched_apply_branch (struct rst_scheduler *sched, const char *key,
                     uint64_t revision, const char *value)
@@ -71,8 +77,9 @@
   if (error == RST_STATE_OK)
     handle_applied_branch (sched, key, revision, value);
   else if (error == RST_STATE_INVALID)
-    rst_warning ("settings", "Branch was refused.", "key", key, "problem",
-                 g_strchomp (problems->str));
+    rst_warning ("settings",
+                 "Settings branch is invalid; the version before stays.",
+                 "key", key, "problem", g_strchomp (problems->str));
   g_string_free (problems, TRUE);
 }
 
@@ -179,6 +186,7 @@
   return g_strconcat (RST_KEY_ZONE_RECORDS, sched->config.zone, NULL);
 }
 
+/* Ends the write under way, whose outcome is known now. */
 static void
 finish_write (struct rst_scheduler *sched, bool ok)
 {
@@ -193,7 +201,8 @@
 
 static void read_record (struct rst_scheduler *sched);
 
-/* Finds out by the writer's number whether a write took effect. */
+/* Tells from the record, by its writer and the number of the write, whether
+   the write under way has taken effect. */
 static void
 on_record_read (const struct rst_platform_reply *reply, void *data)
 {
@@ -247,6 +256,11 @@
   finish_write (sched, true);
 }
 
+/* Changes the own zone's ownership record: @update changes a copy, which is
+   written if it returns true.  @done is called with whether the write took
+   effect.  Returns false, without calling @done, if nothing was sent: a write
+   is under way, it is too early for the next one, the members are not known or
+   @update had nothing to change. */
 bool
 sched_zone_update (struct rst_scheduler *sched,
                    sched_zone_update_function update, void *data,
@@ -281,6 +295,7 @@
   return true;
 }
 
+/* Repeats the read that settles the outcome of a write, once it is due. */
 void
 sched_zone_writer_tick (struct rst_scheduler *sched)
 {
