--- a/src/coordination/sched_instance_adopt.c
+++ b/src/coordination/sched_instance_adopt.c
@@ -287,9 +287,7 @@
   CK_LIST_FOREACH (run, &instance->runs, entry)
   if (!run->ended && !run->reserved && run->info.job[0] != '\0')
     {
-      rst_warning (LOG_PREFIX,
-                   "Instance is unreachable and its task leases have "
-                   "expired; the task is lost.",
+      rst_warning (LOG_PREFIX, "Instance is unreachable; its task is lost.",
                    "instance", instance->info.name, "task", run->info.id);
       sched_run_end (run, RST_TASK_LOST);
     }
--- a/src/coordination/sched_limit.c
+++ b/src/coordination/sched_limit.c
@@ -283,7 +283,7 @@
   struct team *team = sched_team_get (sched, name);
   struct rst_limit limit;
   const struct rst_limit_part *part;
-  uint32_t reserved = 0;
+  uint32_t withheld = 0;
   const struct transfer *transfer;
 
   if (team->limit_known && revision <= team->limit.revision)
@@ -299,10 +299,10 @@
   team->limit_known = true;
   part = rst_limit_find_part (&team->limit, sched->incarnation);
   CK_LIST_FOREACH (transfer, &team->transfers, entry)
-  reserved += transfer->count;
-  reserved += team->busy ? team->shrink_pending : 0;
-  team->granted = part != NULL && part->granted > reserved
-                      ? part->granted - reserved
+  withheld += transfer->count;
+  withheld += team->busy ? team->shrink_pending : 0;
+  team->granted = part != NULL && part->granted > withheld
+                      ? part->granted - withheld
                       : 0;
 }
 
--- a/src/coordination/scheduler_private.h
+++ b/src/coordination/scheduler_private.h
@@ -57,7 +57,7 @@
  * release instances. */
 #define SCHED_ZONE_UPDATE_INTERVAL_MS 300
 
-/** Time between two writes of one team's limit record. */
+/** Mean time between two writes of one team's limit record. */
 #define SCHED_LIMIT_WRITE_INTERVAL_MS 200
 
 /** Smallest number of runs by which a part is asked to grow. */
