--- a/src/coordination/sched_record.c
+++ b/src/coordination/sched_record.c
@@ -1,10 +1,11 @@
 /**
- * DOC: sched_record - request ids whose home changes
+ * DOC: sched_record - request ids whose home has moved
  *
- * The home of a request id is the member that rendezvous hashing picks.  When
- * members come and go, the home of some ids moves.  A new home runs such a
- * request only once it is sure that no earlier home has run it: it asks those
- * that live, and says "unknown" when one of them is lost.
+ * The home of a request id is the member that rendezvous hashing picks; it
+ * keeps the request record by which repeats are recognised.  When members come
+ * and go, the home of some ids moves.  The new home runs such a request only
+ * if no earlier home can have run it: it asks the earlier homes that are still
+ * members, and answers "unknown" when one of them has departed.
  */
 #include "coordination/scheduler_private.h"
 
@@ -12,13 +13,14 @@
 
 #define LOG_PREFIX "record"
 
-/** How long the answers of earlier homes are waited for. */
+/** How long the replies of earlier homes are awaited. */
 #define HOME_REPLY_TIMEOUT_MS 500
 
-/* What this process has seen of a member. */
+/* When this process first found a member in an ownership record, and when it
+   found it departed; 0 if it has not. */
 struct known_member
 {
-  rst_ms first_seen;
+  rst_ms first_seen_at;
   rst_ms departed_at;
 };
 
@@ -46,9 +48,10 @@
   sched->joined_at = 0;
 }
 
-/* How long after an event an earlier run must still be reckoned with. */
+/* How long after a home has moved the earlier home may still run a request, or
+   hold the record of one that it ran. */
 static rst_ms
-window (const struct rst_scheduler *sched)
+get_lookback_ms (const struct rst_scheduler *sched)
 {
   return rst_settings_cell (sched->settings)->max_deadline_ms
          + SCHED_RECORD_TTL_MS;
@@ -63,7 +66,7 @@
   if (member != NULL)
     return member;
   member = g_new0 (struct known_member, 1);
-  member->first_seen = sched_now (sched);
+  member->first_seen_at = sched_now (sched);
   g_hash_table_insert (sched->member_history, g_strdup (incarnation), member);
   return member;
 }
@@ -87,114 +90,120 @@
     sched->joined_at = sched_now (sched);
 }
 
-/* A peer that holds the same records knows that this process is a member. */
+/* Records when a peer was first found to hold the same settings and ownership
+   records, and so to know that this process is a member. */
 void
 sched_record_note_informed (struct rst_scheduler *sched,
                             const struct peer *peer)
 {
-  rst_ms *at;
+  rst_ms *informed_at;
 
   if (sched->joined_at == 0
       || g_hash_table_contains (sched->informed_peers, peer->incarnation))
     return;
-  at = g_new (rst_ms, 1);
-  *at = sched_now (sched);
+  informed_at = g_new (rst_ms, 1);
+  *informed_at = sched_now (sched);
   g_hash_table_insert (sched->informed_peers, g_strdup (peer->incarnation),
-                       at);
+                       informed_at);
 }
 
-/* ---- Who may have been the home
- * --------------------------------------------- */
+/* ---- Who may have been the home ---------------------------------------- */
 
+/* Search for the homes of a key.  @stable_score is the highest score of the
+   other members that have been there for the whole lookback: a member with a
+   lower score cannot have been the home in that time. */
 struct home_search
 {
   struct rst_scheduler *sched;
   const char *key;
   rst_ms now;
-  rst_ms window;
+  rst_ms lookback_ms;
   const char *home;
   uint64_t home_score;
   uint64_t stable_score;
 };
 
+/* Whether a member has been known for the whole lookback. */
 static bool
-is_stable (const struct home_search *home_search, const char *incarnation)
+is_stable (const struct home_search *search, const char *incarnation)
 {
   const struct known_member *member
-      = g_hash_table_lookup (home_search->sched->member_history, incarnation);
+      = g_hash_table_lookup (search->sched->member_history, incarnation);
 
   return member != NULL
-         && home_search->now - member->first_seen >= home_search->window;
+         && search->now - member->first_seen_at >= search->lookback_ms;
 }
 
+/* Finds the present home and the stable score among the members of a zone. */
 static void
 score_members (const struct rst_zone *zone, void *userdata)
 {
-  struct home_search *home_search = userdata;
+  struct home_search *search = userdata;
 
   for (int i = 0; i < zone->member_count; i++)
     {
       const char *incarnation = zone->members[i].incarnation;
-      uint64_t score = rst_rendezvous_score (home_search->key, incarnation);
+      uint64_t score = rst_rendezvous_score (search->key, incarnation);
 
-      if (home_search->home == NULL || score > home_search->home_score)
+      if (search->home == NULL || score > search->home_score)
         {
-          home_search->home = incarnation;
-          home_search->home_score = score;
+          search->home = incarnation;
+          search->home_score = score;
         }
-      if (strcmp (incarnation, home_search->sched->incarnation) != 0
-          && is_stable (home_search, incarnation))
-        home_search->stable_score = MAX (home_search->stable_score, score);
+      if (strcmp (incarnation, search->sched->incarnation) != 0
+          && is_stable (search, incarnation))
+        search->stable_score = MAX (search->stable_score, score);
     }
 }
 
-/* Whether a lost member may have been the home within the window. */
+/* Whether a departed member may have been the home within the lookback. */
 static bool
-may_have_lost_home (const struct home_search *home_search)
+may_have_lost_home (const struct home_search *search)
 {
-  struct rst_scheduler *sched = home_search->sched;
-  uint64_t min_score = home_search->stable_score;
+  struct rst_scheduler *sched = search->sched;
+  uint64_t min_score = search->stable_score;
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
 
   if (sched->joined_at != 0
-      && home_search->now - sched->joined_at >= home_search->window)
-    min_score = MAX (min_score, rst_rendezvous_score (home_search->key,
-                                                      sched->incarnation));
+      && search->now - sched->joined_at >= search->lookback_ms)
+    min_score = MAX (min_score,
+                     rst_rendezvous_score (search->key, sched->incarnation));
   g_hash_table_iter_init (&iterator, sched->member_history);
   while (g_hash_table_iter_next (&iterator, &name, &value))
     {
       const struct known_member *member = value;
 
       if (member->departed_at != 0
-          && home_search->now - member->departed_at < home_search->window
-          && rst_rendezvous_score (home_search->key, name) > min_score)
+          && search->now - member->departed_at < search->lookback_ms
+          && rst_rendezvous_score (search->key, name) > min_score)
         return true;
     }
   return false;
 }
 
-/* Whether a live member may have taken the request as its home, because it
-   did not know of this process until a short time ago. */
+/* Whether a present member may have run the request as its home, because it
+   has not known of this process for the whole lookback. */
 static bool
-may_be_earlier_home (const struct home_search *home_search,
-                     const char *incarnation)
+may_be_earlier_home (const struct home_search *search, const char *incarnation)
 {
   const rst_ms *informed_at
-      = g_hash_table_lookup (home_search->sched->informed_peers, incarnation);
+      = g_hash_table_lookup (search->sched->informed_peers, incarnation);
 
-  if (strcmp (incarnation, home_search->sched->incarnation) == 0
-      || rst_rendezvous_score (home_search->key, incarnation)
-             < home_search->stable_score)
+  if (strcmp (incarnation, search->sched->incarnation) == 0
+      || rst_rendezvous_score (search->key, incarnation)
+             < search->stable_score)
     return false;
   return informed_at == NULL
-         || home_search->now - *informed_at < home_search->window;
+         || search->now - *informed_at < search->lookback_ms;
 }
 
+/* An inquiry about a query at its earlier homes; @unreachable if there is no
+   link to one of them. */
 struct home_inquiry
 {
-  struct home_search *home_search;
+  struct home_search *search;
   struct query *query;
   bool unreachable;
 };
@@ -202,58 +211,62 @@
 static void
 ask_earlier_homes (const struct rst_zone *zone, void *userdata)
 {
-  struct home_inquiry *home_inquiry = userdata;
-  struct rst_scheduler *sched = home_inquiry->home_search->sched;
+  struct home_inquiry *inquiry = userdata;
+  struct rst_scheduler *sched = inquiry->search->sched;
   struct rst_message message = { 0 };
 
   message.type = RST_RECORD_ASK;
-  message.record.key = (char *)home_inquiry->home_search->key;
+  message.record.key = (char *)inquiry->search->key;
   for (int i = 0; i < zone->member_count; i++)
     {
       const char *incarnation = zone->members[i].incarnation;
 
-      if (!may_be_earlier_home (home_inquiry->home_search, incarnation))
+      if (!may_be_earlier_home (inquiry->search, incarnation))
         continue;
       if (sched_send (sched, sched_link_to (sched, incarnation), &message))
-        home_inquiry->query->pending_home_replies++;
+        inquiry->query->pending_home_replies++;
       else
-        home_inquiry->unreachable = true;
+        inquiry->unreachable = true;
     }
 }
 
-/* Decides whether a request whose id is not known here may be run. */
+/* Decides whether a request that is not known here may be run.  Earlier homes
+   are not asked about an idempotent one, since it may run twice. */
 enum record_check
 sched_record_check (struct query *query)
 {
   struct rst_scheduler *sched = query->sched;
-  struct home_search home_search
-      = { sched, query->record_key, sched_now (sched), window (sched), NULL, 0,
-          0 };
-  struct home_inquiry home_inquiry = { &home_search, query, false };
-
-  rst_settings_records (sched->settings, score_members, &home_search);
-  if (home_search.home == NULL
-      || strcmp (home_search.home, sched->incarnation) != 0)
+  struct home_search search = { sched,
+                                query->record_key,
+                                sched_now (sched),
+                                get_lookback_ms (sched),
+                                NULL,
+                                0,
+                                0 };
+  struct home_inquiry inquiry = { &search, query, false };
+
+  rst_settings_records (sched->settings, score_members, &search);
+  if (search.home == NULL || strcmp (search.home, sched->incarnation) != 0)
     return RECORD_ELSEWHERE;
   if (query->idempotent)
     return RECORD_NEW;
-  if (may_have_lost_home (&home_search))
+  if (may_have_lost_home (&search))
     return RECORD_IN_DOUBT;
-  rst_settings_records (sched->settings, ask_earlier_homes, &home_inquiry);
-  if (home_inquiry.unreachable)
+  rst_settings_records (sched->settings, ask_earlier_homes, &inquiry);
+  if (inquiry.unreachable)
     {
       query->pending_home_replies = 0;
       return RECORD_IN_DOUBT;
     }
-  query->home_reply_deadline = home_search.now + HOME_REPLY_TIMEOUT_MS;
+  query->home_reply_deadline = search.now + HOME_REPLY_TIMEOUT_MS;
   return query->pending_home_replies > 0 ? RECORD_AWAITING_REPLIES
                                          : RECORD_NEW;
 }
 
-/* ---- Messages
- * ------------------------------------------------------------------ */
+/* ---- Messages ---------------------------------------------------------- */
 
-/* After "nothing" was said, the request must not run here any more. */
+/* Once another member has been told that a request is not known here, it must
+   not run here. */
 static void
 mark_home_moved (struct rst_scheduler *sched, const char *key)
 {
@@ -261,7 +274,7 @@
 
   g_strlcpy (record->key, key, sizeof record->key);
   record->home_moved = true;
-  record->expires_at = sched_now (sched) + window (sched);
+  record->expires_at = sched_now (sched) + get_lookback_ms (sched);
   g_hash_table_insert (sched->records, record->key, record);
 }
 
@@ -296,6 +309,7 @@
   sched_send (sched, link, &reply);
 }
 
+/* Ends a query with the outcome that an earlier home has recorded. */
 static void
 end_with_recorded_answer (struct query *query,
                           const struct rst_record_message *record)
--- a/src/coordination/sched_store.c
+++ b/src/coordination/sched_store.c
@@ -1,5 +1,8 @@
 /**
- * DOC: sched_store - watches of the store and the ownership record
+ * DOC: sched_store - watches of the store, and writes of the ownership record
+ *
+ * All changes of the own zone's ownership record pass through here, one at a
+ * time, each by compare-and-swap on the revision last seen.
  */
 #include "coordination/scheduler_private.h"
 
@@ -13,7 +16,7 @@
 
 /* ---- Branches ---------------------------------------------------------- */
 
-/* Operators vouch that these members have stopped. */
+/* Operators list in the settings members that they know to have stopped. */
 static void
 note_stopped_members (struct rst_scheduler *sched)
 {
@@ -26,6 +29,7 @@
   g_strfreev (list);
 }
 
+/* Passes a branch that was applied on, and updates what depends on it. */
 static void
 handle_applied_branch (struct rst_scheduler *sched, const char *key,
                        uint64_t revision, const char *value)
@@ -34,7 +38,8 @@
 
   g_snprintf (text, sizeof text, "%" G_GUINT64_FORMAT, revision);
   if (g_str_has_prefix (key, RST_KEY_SETTINGS))
-    rst_info ("settings", "Branch is in force.", "key", key, "revision", text);
+    rst_info ("settings", "Settings branch was applied.", "key", key,
+              "revision", text);
   sched_peer_push_branch (sched, key, revision, value);
   if (strcmp (key, RST_KEY_CELL) == 0)
     note_stopped_members (sched);
@@ -56,6 +61,7 @@
   sched->load_changed = true;
 }
 
+/* Applies a branch from the store or a peer, unless its revision is known. */
 void
 sched_apply_branch (struct rst_scheduler *sched, const char *key,
                     uint64_t revision, const char *value)
@@ -71,8 +77,9 @@
   if (error == RST_STATE_OK)
     handle_applied_branch (sched, key, revision, value);
   else if (error == RST_STATE_INVALID)
-    rst_warning ("settings", "Branch was refused.", "key", key, "problem",
-                 g_strchomp (problems->str));
+    rst_warning ("settings",
+                 "Settings branch is invalid; the version before stays.",
+                 "key", key, "problem", g_strchomp (problems->str));
   g_string_free (problems, TRUE);
 }
 
@@ -120,7 +127,7 @@
     {
       for (int i = 0; i < reply->kv_count; i++)
         apply_kv (sched, &reply->kvs[i]);
-      watch->after = MAX (watch->after, reply->revision);
+      watch->after_revision = MAX (watch->after_revision, reply->revision);
     }
 }
 
@@ -141,7 +148,7 @@
     g_hash_table_remove_all (sched->alive_members);
   for (int i = 0; i < reply->kv_count; i++)
     apply_kv (sched, &reply->kvs[i]);
-  watch->after = reply->revision;
+  watch->after_revision = reply->revision;
   watch->listed = true;
 }
 
@@ -158,9 +165,9 @@
     sched->platform->store_list (sched->platform_data, watch->prefix,
                                  on_prefix_listed, watch);
   else
-    sched->platform->store_watch (sched->platform_data, watch->prefix,
-                                  watch->after, SCHED_WATCH_TIMEOUT_MS,
-                                  on_watch_reply, watch);
+    sched->platform->store_watch (
+        sched->platform_data, watch->prefix, watch->after_revision,
+        SCHED_WATCH_TIMEOUT_MS, on_watch_reply, watch);
 }
 
 void
@@ -179,6 +186,7 @@
   return g_strconcat (RST_KEY_ZONE_RECORDS, sched->config.zone, NULL);
 }
 
+/* Ends the write under way, whose outcome is known now. */
 static void
 finish_write (struct rst_scheduler *sched, bool ok)
 {
@@ -193,28 +201,29 @@
 
 static void read_record (struct rst_scheduler *sched);
 
-/* Finds out by the writer's number whether a write took effect. */
+/* Tells from the record, by its writer and the number of the write, whether
+   the write under way has taken effect. */
 static void
 on_record_read (const struct rst_platform_reply *reply, void *data)
 {
   struct rst_scheduler *sched = data;
   const struct rst_zone *zone;
-  bool ours = false;
+  bool is_own_write = false;
 
   if (reply->result == RST_PLATFORM_OK && reply->kv_count == 1)
     {
       sched_apply_branch (sched, reply->kvs[0].key, reply->kvs[0].revision,
                           reply->kvs[0].value);
       zone = sched_zone (sched);
-      ours = zone != NULL
-             && zone->write_number == sched->zone_writer.write_number
-             && strcmp (zone->writer, sched->incarnation) == 0;
-      finish_write (sched, ours);
+      is_own_write = zone != NULL
+                     && zone->write_number == sched->zone_writer.write_number
+                     && strcmp (zone->writer, sched->incarnation) == 0;
+      finish_write (sched, is_own_write);
     }
   else if (reply->result == RST_PLATFORM_NOT_FOUND)
     finish_write (sched, false);
   else
-    sched->zone_writer.read_at
+    sched->zone_writer.verify_at
         = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
 }
 
@@ -223,7 +232,7 @@
 {
   char *key = zone_key (sched);
 
-  sched->zone_writer.read_at = 0;
+  sched->zone_writer.verify_at = 0;
   sched->counters.store_reads++;
   sched->platform->store_get (sched->platform_data, key, on_record_read,
                               sched);
@@ -247,22 +256,27 @@
   finish_write (sched, true);
 }
 
+/* Changes the own zone's ownership record: @update changes a copy, which is
+   written if it returns true.  @done is called with whether the write took
+   effect.  Returns false, without calling @done, if nothing was sent: a write
+   is under way, it is too early for the next one, the members are not known or
+   @update had nothing to change. */
 bool
 sched_zone_update (struct rst_scheduler *sched,
-                   sched_zone_update_function mutate, void *data,
+                   sched_zone_update_function update, void *data,
                    void (*done) (struct rst_scheduler *, bool))
 {
   struct zone_writer *writer = &sched->zone_writer;
-  const struct rst_zone *present = sched_zone (sched);
+  const struct rst_zone *current = sched_zone (sched);
   struct rst_zone *zone;
   char *key;
 
   if (writer->busy || sched_now (sched) < writer->next_at
       || !sched->shared_watch.listed)
     return false;
-  zone = present != NULL ? rst_zone_copy (present)
+  zone = current != NULL ? rst_zone_copy (current)
                          : rst_zone_create (sched->config.zone);
-  if (!mutate (sched, zone, data))
+  if (!update (sched, zone, data))
     {
       rst_zone_destroy (zone);
       return false;
@@ -281,12 +295,13 @@
   return true;
 }
 
+/* Repeats the read that settles the outcome of a write, once it is due. */
 void
 sched_zone_writer_tick (struct rst_scheduler *sched)
 {
   struct zone_writer *writer = &sched->zone_writer;
 
-  if (writer->busy && writer->read_at != 0
-      && sched_now (sched) >= writer->read_at)
+  if (writer->busy && writer->verify_at != 0
+      && sched_now (sched) >= writer->verify_at)
     read_record (sched);
 }
