--- a/src/coordination/sched_job.c
+++ b/src/coordination/sched_job.c
@@ -101,7 +101,7 @@
   if (job->search_replies != NULL)
     g_hash_table_destroy (job->search_replies);
   g_free (job->tasks);
-  g_free (job->text);
+  g_free (job->written_text);
   g_free (job);
 }
 
--- a/src/coordination/sched_job_call.c
+++ b/src/coordination/sched_job_call.c
@@ -8,7 +8,7 @@
 
 static bool
 can_fit_any_worker (struct rst_scheduler *sched,
-                    const struct rst_job_spec *spec, GString *why)
+                    const struct rst_job_spec *spec, GString *problem)
 {
   struct rst_instance_info largest = { 0 };
   GHashTableIter iterator;
@@ -30,7 +30,7 @@
         largest = *info;
     }
   g_string_printf (
-      why,
+      problem,
       "%s: no instance is large enough; the largest, %s, has "
       "cpu_milli %" G_GINT64_FORMAT ", memory_mb %" G_GINT64_FORMAT
       ", accelerators %" G_GINT64_FORMAT,
@@ -120,12 +120,13 @@
   if (link == 0 || link == SCHED_LINK_SELF || read->call.job_call.hops > 0
       || !sched_send (sched, link, &call))
     {
-      sched_job_send_rejection (sched, read->link, read->id, 503, "not-run",
-                                "owner-away",
-                                "the job's owner cannot be reached");
+      sched_job_send_rejection (
+          sched, read->caller_link, read->caller_request_id, 503, "not-run",
+          "owner-away", "the job's owner cannot be reached");
       return;
     }
-  sched_job_add_forward (sched, call.id, link, read->link, read->id);
+  sched_job_add_forward (sched, call.id, link, read->caller_link,
+                         read->caller_request_id);
 }
 
 static void
@@ -142,7 +143,8 @@
       return;
     }
   text = rst_job_record_describe (record, 0, NULL);
-  sched_job_send_reply (sched, read->link, read->id, 200, text);
+  sched_job_send_reply (sched, read->caller_link, read->caller_request_id, 200,
+                        text);
   free (text);
 }
 
@@ -153,16 +155,16 @@
   struct rst_job_record record;
 
   if (reply->result == RST_PLATFORM_NOT_FOUND)
-    sched_job_send_rejection (read->sched, read->link, read->id, 404,
-                              "not-run", "unknown-job",
-                              "id: no such job of this team");
+    sched_job_send_rejection (read->sched, read->caller_link,
+                              read->caller_request_id, 404, "not-run",
+                              "unknown-job", "id: no such job of this team");
   else if (reply->result != RST_PLATFORM_OK || reply->kv_count != 1
            || rst_job_record_parse (reply->kvs[0].value,
                                     reply->kvs[0].revision, &record)
                   != RST_STATE_OK)
-    sched_job_send_rejection (read->sched, read->link, read->id, 503,
-                              "not-run", "store-away",
-                              "the job's record cannot be read");
+    sched_job_send_rejection (read->sched, read->caller_link,
+                              read->caller_request_id, 503, "not-run",
+                              "store-away", "the job's record cannot be read");
   else
     {
       reply_from_record (read, &record);
@@ -178,8 +180,8 @@
   struct job_read *read = g_new0 (struct job_read, 1);
 
   read->sched = sched;
-  read->link = link;
-  read->id = message->id;
+  read->caller_link = link;
+  read->caller_request_id = message->id;
   rst_message_copy (message, &read->call);
   return read;
 }
@@ -228,9 +230,9 @@
 
   if (reply->result != RST_PLATFORM_OK)
     {
-      sched_job_send_rejection (read->sched, read->link, read->id, 503,
-                                "not-run", "store-away",
-                                "the jobs cannot be read");
+      sched_job_send_rejection (read->sched, read->caller_link,
+                                read->caller_request_id, 503, "not-run",
+                                "store-away", "the jobs cannot be read");
       job_read_free (read);
       return;
     }
@@ -256,7 +258,8 @@
     }
   json_object_object_add (root, "jobs", list);
   text = rst_json_release (root);
-  sched_job_send_reply (read->sched, read->link, read->id, 200, text);
+  sched_job_send_reply (read->sched, read->caller_link,
+                        read->caller_request_id, 200, text);
   free (text);
   job_read_free (read);
 }
@@ -299,8 +302,8 @@
 struct job_forward
 {
   uint64_t id;
-  uint64_t to;
-  uint64_t link;
+  uint64_t owner_link;
+  uint64_t caller_link;
   uint64_t caller_request_id;
   rst_ms sent_at;
 };
@@ -312,8 +315,8 @@
   struct job_forward *forward = g_new0 (struct job_forward, 1);
 
   forward->id = id;
-  forward->to = to;
-  forward->link = link;
+  forward->owner_link = to;
+  forward->caller_link = link;
   forward->caller_request_id = caller_request_id;
   g_hash_table_insert (sched->job_forwards, &forward->id, forward);
 }
@@ -326,10 +329,10 @@
       = g_hash_table_lookup (sched->job_forwards, &message->id);
   struct rst_message reply = *message;
 
-  if (forward == NULL || forward->to != link)
+  if (forward == NULL || forward->owner_link != link)
     return;
   reply.id = forward->caller_request_id;
-  sched_send (sched, forward->link, &reply);
+  sched_send (sched, forward->caller_link, &reply);
   g_hash_table_remove (sched->job_forwards, &message->id);
 }
 
--- a/src/coordination/sched_job_private.h
+++ b/src/coordination/sched_job_private.h
@@ -71,7 +71,7 @@
   bool dropped;
   bool store_busy;
   uint64_t base_revision;
-  char *text;
+  char *written_text;
   rst_ms write_next_at;
   rst_ms verify_at;
   rst_ms created_at;
@@ -99,8 +99,8 @@
 struct job_read
 {
   struct rst_scheduler *sched;
-  uint64_t link;
-  uint64_t id;
+  uint64_t caller_link;
+  uint64_t caller_request_id;
   struct rst_message call;
 };
 
--- a/src/coordination/sched_job_record.c
+++ b/src/coordination/sched_job_record.c
@@ -26,7 +26,7 @@
   char *key = sched_job_build_key (job);
 
   sched->counters.store_writes++;
-  sched->platform->store_put (sched->platform_data, key, job->text,
+  sched->platform->store_put (sched->platform_data, key, job->written_text,
                               (int64_t)job->base_revision, 0,
                               on_record_written, job);
   g_free (key);
@@ -44,8 +44,8 @@
   job->intent_in_write = job->record.intent;
   CK_STAILQ_FOREACH (end_ack, &job->end_acks, entry)
   end_ack->in_write = true;
-  g_free (job->text);
-  job->text = rst_job_record_format (&job->record);
+  g_free (job->written_text);
+  job->written_text = rst_job_record_format (&job->record);
   put_record (job);
 }
 
@@ -126,14 +126,16 @@
 /* Another record stands under this name: a repeat of the same submission, or
    another job; or another owner has taken the job over. */
 static void
-handle_record_conflict (struct job *job, const struct rst_job_record *present)
+handle_record_conflict (struct job *job,
+                        const struct rst_job_record *stored_record)
 {
-  bool same = rst_job_spec_equal (&job->record.spec, &present->spec);
+  bool same_spec
+      = rst_job_spec_equal (&job->record.spec, &stored_record->spec);
   char *text;
 
-  if (job->caller_awaits_reply && same)
+  if (job->caller_awaits_reply && same_spec)
     {
-      text = rst_job_record_describe (present, 0, NULL);
+      text = rst_job_record_describe (stored_record, 0, NULL);
       job->caller_awaits_reply = false;
       sched_job_send_reply (job->sched, job->caller_link,
                             job->caller_request_id, 200, text);
@@ -150,7 +152,7 @@
 on_write_verified (const struct rst_platform_reply *reply, void *data)
 {
   struct job *job = data;
-  struct rst_job_record present = { 0 };
+  struct rst_job_record stored_record = { 0 };
   bool found = reply->result == RST_PLATFORM_OK && reply->kv_count == 1;
   uint64_t revision = found ? reply->kvs[0].revision : 0;
 
@@ -168,7 +170,7 @@
       return;
     }
   if (!found
-      || rst_job_record_parse (reply->kvs[0].value, revision, &present)
+      || rst_job_record_parse (reply->kvs[0].value, revision, &stored_record)
              != RST_STATE_OK)
     {
       job->store_busy = false;
@@ -177,15 +179,15 @@
       sched_job_drop (job);
       return;
     }
-  if (strcmp (present.owner, job->record.owner) == 0
-      && present.write_number == job->record.write_number)
+  if (strcmp (stored_record.owner, job->record.owner) == 0
+      && stored_record.write_number == job->record.write_number)
     handle_stored_record (job, revision);
   else
     {
       job->store_busy = false;
-      handle_record_conflict (job, &present);
+      handle_record_conflict (job, &stored_record);
     }
-  rst_job_record_clear (&present);
+  rst_job_record_clear (&stored_record);
 }
 
 void
--- a/src/coordination/sched_job_start.c
+++ b/src/coordination/sched_job_start.c
@@ -29,14 +29,14 @@
     {
       const struct peer *peer = value;
       int64_t free_cpu = (int64_t)peer->load.cpu_free;
-      bool own = strcmp (peer->zone, sched->config.zone) == 0;
+      bool same_zone = strcmp (peer->zone, sched->config.zone) == 0;
 
       if (!peer->has_greeted || peer->role != RST_ROLE_SCHEDULER
           || !peer->has_load || !peer->load.ready
           || (int64_t)peer->load.largest_cpu_free < spec->cpu
           || rst_settings_zone_out (sched->settings, peer->zone))
         continue;
-      if (own != prefer_other_zone)
+      if (same_zone != prefer_other_zone)
         free_cpu *= 4;
       if (free_cpu > best_free_cpu)
         {
@@ -159,14 +159,16 @@
 sched_job_start_waiting (struct job *job)
 {
   rst_ms now = sched_now (job->sched);
-  int64_t bound
+  int64_t startable_count
       = job->record.spec.policy == RST_POLICY_GANG && !job->gang_started
             ? job->record.spec.tasks
             : job->stored_intent;
   int64_t i = job->first_waiting;
   bool skipped_any = false;
 
-  for (; i < bound && job->start_requested_count < START_REQUESTS_MAX; i++)
+  for (;
+       i < startable_count && job->start_requested_count < START_REQUESTS_MAX;
+       i++)
     {
       struct task *task = &job->tasks[i];
 
--- a/src/coordination/sched_query_intake.c
+++ b/src/coordination/sched_query_intake.c
@@ -63,7 +63,8 @@
               const struct rst_message *message)
 {
   const struct rst_query *request = &message->query;
-  rst_ms bound = rst_settings_cell (sched->settings)->max_deadline_ms;
+  rst_ms max_deadline_ms
+      = rst_settings_cell (sched->settings)->max_deadline_ms;
   rst_ms now = sched_now (sched);
   struct query *query = g_new0 (struct query, 1);
 
@@ -74,7 +75,8 @@
   query->urgent = request->urgent;
   query->hops = request->hops;
   query->deadline
-      = now + MIN ((rst_ms)MIN (request->deadline_ms, INT32_MAX), bound);
+      = now
+        + MIN ((rst_ms)MIN (request->deadline_ms, INT32_MAX), max_deadline_ms);
   g_strlcpy (query->request_id, request->request_id, sizeof query->request_id);
   rst_blob_set (&query->body, request->body.data, request->body.length);
   CK_LIST_INIT (&query->waiters);
@@ -99,7 +101,7 @@
 sched_query_place (struct query *query)
 {
   struct rst_scheduler *sched = query->sched;
-  int64_t bound = rst_settings_cell (sched->settings)->queue_per_team;
+  int64_t max_queued = rst_settings_cell (sched->settings)->queue_per_team;
   struct peer *peer;
 
   if (query->hops == 0 && !sched_query_has_free_slot (sched))
@@ -114,7 +116,7 @@
                           "this scheduler takes no work now");
       return;
     }
-  if (query->team->queued >= bound)
+  if (query->team->queued >= max_queued)
     {
       sched_query_reject (query, HTTP_STATUS_TOO_MANY, "queue-full",
                           "too many of the team's queries are waiting");
--- a/src/coordination/sched_task.c
+++ b/src/coordination/sched_task.c
@@ -420,7 +420,7 @@
 
 static void
 sweep_instance (struct rst_scheduler *sched, struct instance *instance,
-                int *moves)
+                int *moves_left)
 {
   rst_ms now = sched_now (sched);
   bool move = must_move (sched, instance);
@@ -440,9 +440,9 @@
         ;
       else if (run->stop_requested)
         sched_task_stop_run (run, run->stop_with_checkpoint);
-      else if (move && *moves > 0)
+      else if (move && *moves_left > 0)
         {
-          (*moves)--;
+          (*moves_left)--;
           sched_task_stop_run (run, true);
         }
       run = next;
@@ -498,7 +498,7 @@
 sched_task_tick (struct rst_scheduler *sched)
 {
   rst_ms now = sched_now (sched);
-  int moves = MOVES_PER_SWEEP;
+  int moves_left = MOVES_PER_SWEEP;
 
   if (now < sched->task_sweep_next_at)
     return;
@@ -508,7 +508,7 @@
       struct instance *instance = g_ptr_array_index (sched->owned, i);
 
       if (instance->info.kind == RST_WORKER)
-        sweep_instance (sched, instance, &moves);
+        sweep_instance (sched, instance, &moves_left);
     }
   stop_excess_tasks (sched);
   if (now >= sched->rejection_sweep_next_at)
