--- a/src/coordination/sched_task.c
+++ b/src/coordination/sched_task.c
@@ -390,7 +390,7 @@
 }
 
 static void
-report_end_again (struct rst_scheduler *sched, struct run *run)
+report_end_if_due (struct rst_scheduler *sched, struct run *run)
 {
   rst_ms now = sched_now (sched);
 
@@ -433,7 +433,7 @@
       if (run->info.job[0] == '\0')
         ;
       else if (run->ended)
-        report_end_again (sched, run);
+        report_end_if_due (sched, run);
       else if (run->reserved && now >= run->reserved_until)
         sched_run_remove (run);
       else if (run->reserved || run->starting || run->stopping)
