--- a/src/coordination/sched_query.c
+++ b/src/coordination/sched_query.c
@@ -1,9 +1,9 @@
 /**
  * DOC: sched_query - queries on runners
  *
- * A query waits in its team's queue until a slot on an owned runner and a
- * place in the team's part are free.  Each query ends exactly once: answered,
- * not run, or unknown.
+ * A query waits in its team's queue until an owned runner has a free slot and
+ * the team's part of its upper limit allows a further run.  Each query ends
+ * exactly once: answered, not run, or unknown.
  */
 #include "coordination/sched_query_private.h"
 
@@ -11,10 +11,10 @@
 
 #define LOG_PREFIX "query"
 
-/** Thousandths of a retry earned by each query. */
+/** Part of a retry that each query adds to the retry budget. */
 #define RETRY_EARNED_PER_QUERY_PERMILLE 200
 
-/** Most retries saved up. */
+/** Most retries that the budget can hold. */
 #define SAVED_RETRIES_MAX 100
 
 static void
@@ -88,7 +88,8 @@
             rst_outcome_name (answer->outcome), "reason", answer->reason);
 }
 
-/* Keeps the end for repeats; what did not run may be tried anew. */
+/* Stores how a request with the caller's id ended, as the reply to repeats of
+   it.  A request that did not run is forgotten, so a repeat may run. */
 static void
 store_outcome (struct query *query, const struct rst_message *message)
 {
@@ -245,6 +246,7 @@
     }
 }
 
+/* Frees the slots of runs in doubt that must have ended by now. */
 static void
 release_expired_runs (struct rst_scheduler *sched)
 {
@@ -283,7 +285,8 @@
   return *(const rst_ms *)value <= *(const rst_ms *)userdata;
 }
 
-/* Earlier homes that did not answer may have run the request. */
+/* Ends queries whose earlier homes did not all reply in time: one of them may
+   have run the request. */
 static void
 expire_home_inquiries (struct rst_scheduler *sched)
 {
@@ -306,7 +309,9 @@
       else
         {
           query->pending_home_replies = 0;
-          sched_query_end_in_doubt (query, "an earlier home did not answer");
+          sched_query_end_in_doubt (
+              query,
+              "a scheduler that may have run the request did not reply");
         }
     }
   g_list_free (records);
--- a/src/coordination/sched_query_forward.c
+++ b/src/coordination/sched_query_forward.c
@@ -1,16 +1,17 @@
-/* Queries passed on to the scheduler that can run them. */
+/* Queries forwarded to schedulers that have free slots. */
 #include "coordination/sched_query_private.h"
 
 #include <string.h>
 
 #define LOG_PREFIX "query"
 
-/** Time after a forwarded query's deadline at which its outcome is given up.
- */
+/** Time after its deadline for which a forwarded query awaits its answer. */
 #define FORWARD_GRACE_MS 500
 
 #define HTTP_STATUS_BAD_GATEWAY 502
 
+/* Free slots by the peer's last load report, less the queries that wait there
+   or were forwarded to it and not answered. */
 static int64_t
 count_free_slots (const struct peer *peer)
 {
@@ -18,7 +19,8 @@
          - (int64_t)peer->load.queued;
 }
 
-/* The peer with most room, the own zone before others. */
+/* The scheduler with the most free slots; those in this scheduler's zone count
+   twice, so that queries tend to stay in the zone. */
 struct peer *
 sched_query_choose_peer (struct rst_scheduler *sched)
 {
@@ -105,7 +107,7 @@
   struct query *query
       = g_hash_table_lookup (sched->query_forwards, &message->id);
 
-  /* A late answer, or one to another request, reaches nobody. */
+  /* A late answer, or one from another peer, is ignored. */
   if (query == NULL || query->forward_link != link)
     return;
   clear_forward (query);
@@ -124,6 +126,7 @@
     sched_query_end (query, &message->answer);
 }
 
+/* The peer may have run the query before the link to it closed. */
 static void
 handle_lost_forward (struct query *query)
 {
@@ -133,8 +136,9 @@
       && rst_retry_budget_take_retry (&query->sched->retry_budget))
     sched_query_enqueue (query, true);
   else
-    sched_query_end_unknown (query, HTTP_STATUS_BAD_GATEWAY, "", 0,
-                             "the link to the scheduler that had it broke");
+    sched_query_end_unknown (
+        query, HTTP_STATUS_BAD_GATEWAY, "", 0,
+        "the connection to the scheduler that had the query was lost");
 }
 
 void
--- a/src/coordination/sched_query_intake.c
+++ b/src/coordination/sched_query_intake.c
@@ -1,19 +1,20 @@
-/* Which queries are taken: keys, repeats, limits, homes. */
+/* Admission of queries: duplicates, request ids and full queues; and queues
+   that other schedulers can serve. */
 #include "coordination/sched_query_private.h"
 
 #include <string.h>
 
 #define LOG_PREFIX "query"
 
-/** How long a message may arrive a second time. */
+/** How long the messages received are remembered to detect duplicates. */
 #define DUPLICATE_WINDOW_MS 5000
 
 #define HTTP_STATUS_CONFLICT 409
 
 #define HTTP_STATUS_TOO_MANY 429
 
-/* Answers a repeat from the record of its request.  Returns false when the
-   request is new. */
+/* Handles a request whose id is known: replies as recorded or lets it wait for
+   the query's end.  Returns false if the id is not known. */
 static bool
 reply_to_repeat (struct rst_scheduler *sched, uint64_t link,
                  const struct rst_message *message, const char *key)
@@ -25,9 +26,9 @@
     return false;
   if (record->home_moved)
     {
-      sched_query_reject_message (sched, link, message->id,
-                                  HTTP_STATUS_UNAVAILABLE, "home-changed",
-                                  "another scheduler keeps this id now");
+      sched_query_reject_message (
+          sched, link, message->id, HTTP_STATUS_UNAVAILABLE, "home-changed",
+          "another scheduler handles this request id now");
       return true;
     }
   if (record->running_query != NULL)
@@ -41,7 +42,7 @@
   return true;
 }
 
-/* Whether this very message was taken before. */
+/* Whether this message was received before; if not, remembers it. */
 static bool
 is_duplicate (struct rst_scheduler *sched, uint64_t link, uint64_t id)
 {
@@ -113,7 +114,7 @@
   if (!sched_may_start (sched))
     {
       sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "not-ready",
-                          "this scheduler takes no work now");
+                          "this scheduler accepts no queries now");
       return;
     }
   if (query->team->queued >= max_queued)
@@ -132,8 +133,9 @@
   sched_query_end_unknown (query, HTTP_STATUS_TIMEOUT, "", 0, detail);
 }
 
-/* A request with the caller's id runs only at its home, and only when no
-   earlier home can have run it. */
+/* Places a request with the caller's id.  It runs only at its home, the
+   member that its id is assigned to, and only if no earlier home can have run
+   it. */
 static void
 place_keyed_query (struct query *query)
 {
@@ -146,11 +148,12 @@
       query->sched->awaiting_home_replies = true;
       break;
     case RECORD_IN_DOUBT:
-      sched_query_end_in_doubt (query, "an earlier home of this id is lost");
+      sched_query_end_in_doubt (
+          query, "a scheduler that may have run the request is lost");
       break;
     case RECORD_ELSEWHERE:
       sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "home-changed",
-                          "another scheduler keeps this id now");
+                          "another scheduler handles this request id now");
       break;
     }
 }
@@ -195,7 +198,8 @@
   place_keyed_query (query);
 }
 
-/* Queries that wait here while peers have room go there. */
+/* Forwards queued queries in order while peers have free slots.  A query that
+   was forwarded to this scheduler stays here. */
 static void
 offload_queue (struct rst_scheduler *sched, struct query_queue *queue)
 {
@@ -233,7 +237,8 @@
     }
 }
 
-/* What cannot be started here goes elsewhere at once. */
+/* Forwards each queued query, or rejects it if it was forwarded here or no
+   peer has a free slot. */
 static void
 flush_queue (struct rst_scheduler *sched, struct query_queue *queue)
 {
@@ -247,7 +252,7 @@
       sched_query_dequeue_head (queue);
       if (peer == NULL || !sched_query_forward (query, peer))
         sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "not-ready",
-                            "this scheduler takes no work now");
+                            "this scheduler accepts no queries now");
     }
 }
 
--- a/src/coordination/sched_query_run.c
+++ b/src/coordination/sched_query_run.c
@@ -1,4 +1,4 @@
-/* Where a query runs, and how its run ends. */
+/* Choice of a queue and a runner, and runs of queries. */
 #include "coordination/sched_query_private.h"
 
 #include <string.h>
@@ -8,11 +8,10 @@
 /** Most attempts of one query. */
 #define QUERY_ATTEMPTS_MAX 4
 
-/** How long work whose end is unknown occupies its place after its
- * deadline. */
+/** How long a run in doubt occupies its slot after the query's deadline. */
 #define IN_DOUBT_MARGIN_MS 1000
 
-/* The runner with the least part of its slots in use. */
+/* The runner with the smallest part of its slots in use. */
 struct instance *
 sched_query_choose_runner (struct rst_scheduler *sched)
 {
@@ -47,7 +46,8 @@
   return settings != NULL ? settings->share : 1;
 }
 
-/* The team that is furthest below its share, among those that may start. */
+/* The queue of the team with the fewest runs for its share.  Teams that have
+   used up their part of the upper limit are passed over. */
 static struct query_queue *
 choose_queue (struct rst_scheduler *sched, bool urgent)
 {
@@ -85,7 +85,8 @@
     g_free (run);
 }
 
-/* The work may still run: its place stays occupied until it must be over. */
+/* The runner may still run the query, so its slot stays occupied until the run
+   must have ended. */
 static void
 keep_run_in_doubt (struct run *run, const struct query *query)
 {
@@ -106,7 +107,9 @@
                                sched_now (instance->sched));
 }
 
-/* Tries a query again that did not run, or that may run twice. */
+/* Queues a query that did not run, or that is idempotent, for another attempt.
+   Returns false if this scheduler is stopping or no attempts, time or retry
+   budget are left. */
 static bool
 retry_query (struct query *query)
 {
@@ -155,7 +158,7 @@
                              "the runner gave no whole answer");
   else
     sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "no-runner",
-                        "no runner took the request");
+                        "no runner accepted the request");
 }
 
 static void
--- a/src/coordination/sched_task.c
+++ b/src/coordination/sched_task.c
@@ -2,8 +2,9 @@
  * DOC: sched_task - tasks on owned workers
  *
  * Starts, follows and stops tasks on the workers that this scheduler owns, on
- * behalf of the owners of the jobs.  A start is repeated under the same id
- * until the worker has said yes or no; the worker runs one id once.
+ * request of the owners of the jobs.  A start whose result is unknown is sent
+ * again under the same id until its deadline, unless the task must run at most
+ * once; a worker runs each id at most once.
  */
 #include "coordination/sched_task_private.h"
 
@@ -11,19 +12,19 @@
 
 #define LOG_PREFIX "task"
 
-/** How long the refusal of a start is remembered. */
+/** How long a rejected start is remembered. */
 #define REJECTION_RETENTION_MS 60000
 
-/** Time between two reports of an end that was not confirmed. */
+/** Time between two reports of a task's end without an acknowledgement. */
 #define END_REPORT_INTERVAL_MS 1000
 
-/** How long an end that nobody confirms is reported. */
+/** Time after which an end without an acknowledgement is reported no more. */
 #define END_REPORT_TIMEOUT_MS 600000
 
-/** Time between two looks at holds, ends and moves. */
+/** Time between two passes over the runs on owned workers. */
 #define TASK_SWEEP_INTERVAL_MS 50
 
-/** Most tasks stopped in one look, so that moves do not come all at once. */
+/** Most tasks that one pass begins to move, which spreads moves over time. */
 #define MOVES_PER_SWEEP 16
 
 void
@@ -97,7 +98,7 @@
   sched_send (run->team->sched, run->reply_link, &message);
 }
 
-/* The highest attempt of a task that was refused here. */
+/* The highest attempt of a task whose start was rejected here. */
 struct rejection
 {
   uint64_t attempt;
@@ -110,7 +111,8 @@
   return g_strdup_printf ("%s.%" G_GUINT64_FORMAT, task->job, task->index);
 }
 
-/* A request that arrives a second time must not start what was refused. */
+/* The job's owner goes on to the next attempt after a rejection, so a
+   duplicate of the request must not start this one. */
 void
 sched_task_record_rejection (struct rst_scheduler *sched,
                              const struct rst_task_start *task)
@@ -162,7 +164,7 @@
       sched_task_format_id (id, sizeof id, request->task_start.job,
                             request->task_start.index,
                             request->task_start.attempt);
-      rst_info (LOG_PREFIX, "Task was refused.", "task", id, "team",
+      rst_info (LOG_PREFIX, "Task start was rejected.", "task", id, "team",
                 request->task_start.team, "zone", sched->config.zone, "reason",
                 reason);
     }
@@ -198,7 +200,8 @@
   return total > 0 ? used * 1000 / total : 0;
 }
 
-/* How full the fullest resource would be, in thousandths. */
+/* Usage of processors or memory, whichever is higher, with the task started,
+   in permille. */
 static int64_t
 usage_after_start (const struct instance *instance,
                    const struct rst_task_start *task)
@@ -224,7 +227,8 @@
   return count;
 }
 
-/* Instances with accelerators are left to those that need them. */
+/* Ranks workers with accelerators behind all others for tasks that need none:
+   the penalty exceeds any usage. */
 static int64_t
 accelerator_penalty (const struct instance *instance,
                      const struct rst_task_start *task)
@@ -232,7 +236,8 @@
   return task->accelerators == 0 && instance->info.accelerators > 0 ? 2000 : 0;
 }
 
-/* Smaller is better: services spread, all else is packed. */
+/* A lower rank is better.  Services are spread: workers with fewer tasks of
+   the same job come first, whatever their usage.  Other tasks are packed. */
 static int64_t
 rank_worker (const struct instance *instance,
              const struct rst_task_start *task)
@@ -362,7 +367,8 @@
     run->end_acknowledged = true;
 }
 
-/* The job's owner, or everybody when that one is gone. */
+/* Reports an end to the job's owner or, if there is no link to that scheduler,
+   to all schedulers, one of which may have taken the job over. */
 static void
 report_end (struct rst_scheduler *sched, struct run *run)
 {
@@ -406,7 +412,7 @@
     report_end (sched, run);
 }
 
-/* Whether running work must leave this instance. */
+/* Whether running tasks are to be checkpointed and moved off an instance. */
 static bool
 must_move (const struct rst_scheduler *sched, const struct instance *instance)
 {
@@ -470,7 +476,8 @@
   return newest;
 }
 
-/* A lowered limit stops the newest tasks, after a checkpoint. */
+/* Stops a team's newest tasks, with a checkpoint, after its upper limit was
+   lowered. */
 static void
 stop_excess_tasks (struct rst_scheduler *sched)
 {
--- a/src/coordination/sched_task_find.c
+++ b/src/coordination/sched_task_find.c
@@ -1,10 +1,12 @@
-/* What this scheduler knows of a job for its new owner. */
+/* Replies to the owner of a job that searches for its tasks. */
 #include "coordination/sched_task_private.h"
 
 #include <string.h>
 
 #define LOG_PREFIX "task"
 
+/* Start requests of owners with an earlier generation are rejected from then
+   on. */
 static void
 record_generation (struct rst_scheduler *sched, const char *job,
                    uint64_t generation)
@@ -19,6 +21,9 @@
   *known = MAX (*known, generation);
 }
 
+/* Whether each instance of the zone has an owner and this scheduler knows the
+   tasks on all of its own.  Only an instance listed as a runner is known to
+   run none. */
 static bool
 all_workers_adopted (const struct rst_scheduler *sched)
 {
@@ -77,10 +82,12 @@
       sched_task_fill_event (&reply, RST_TASK_FOUND, run,
                              run->ended ? (uint64_t)run->info.result
                                         : RST_TASK_RUNNING);
+      /* This owner may not have stored the end, so it is reported again. */
       run->end_acknowledged = false;
       sched_send (sched, link, &reply);
     }
-  /* The last message says whether all was known. */
+  /* The last message names no task.  It says whether the reply is complete and
+     on which revision of the ownership record it is based. */
   memset (&reply, 0, sizeof reply);
   reply.type = RST_TASK_FOUND;
   reply.id = message->id;
--- a/src/coordination/sched_task_start.c
+++ b/src/coordination/sched_task_start.c
@@ -1,11 +1,11 @@
-/* Starting tasks, and settling starts without an answer. */
+/* Starts of tasks on owned workers, and starts whose result is unknown. */
 #include "coordination/sched_task_private.h"
 
 #include <string.h>
 
 #define LOG_PREFIX "task"
 
-/** How long a held place waits for the start. */
+/** How long resources stay reserved without a start request. */
 #define RESERVATION_MS 4000
 
 static void send_start (struct run *run);
@@ -24,7 +24,7 @@
             run->instance->info.name, "epoch", epoch, "reason", reason);
 }
 
-/* The start was refused: nothing runs under this id. */
+/* Ends a run that the worker did not start and will not start later. */
 static void
 handle_rejected_start (struct run *run, const char *result)
 {
@@ -70,14 +70,14 @@
     }
   else
     {
-      /* Renewals will tell whether the worker has it. */
+      /* The worker's replies to renewals tell whether it runs the task. */
       run->started_at = sched_now (run->team->sched);
       sched_task_reply_start (run, RST_TASK_UNSURE);
     }
 }
 
-/* Asks the worker to stop what it may have started; a worker that does not
-   know the id will never start it. */
+/* Stops a task that the worker may have started.  A worker that does not know
+   the id will not start it after this request. */
 static void
 stop_in_doubt (struct run *run)
 {
@@ -89,8 +89,8 @@
       run->info.id, false, on_in_doubt_stop_reply, run);
 }
 
-/* The worker may have started this run-once task and have lost it since, so
-   the start is not sent again: its next report tells. */
+/* The worker may have started this run-once task and lost it since, so sending
+   the start again could run it twice.  The worker's next report decides. */
 static void
 mark_in_doubt (struct run *run)
 {
@@ -98,7 +98,9 @@
   run->in_doubt = true;
   run->started_at = sched_now (run->team->sched);
   run->instance->next_renewal_at = 0;
-  sched_task_log_event (run, "Start of the task is unsure.", "no-answer");
+  sched_task_log_event (
+      run, "Task start is in doubt; the worker's next report decides.",
+      "no-answer");
   sched_task_reply_start (run, RST_TASK_UNSURE);
 }
 
@@ -119,8 +121,8 @@
     sched_run_end (run, (uint64_t)reply->work[0].result);
 }
 
-/* The worker did not report a task whose start is unsure: it is asked never
-   to start it. */
+/* Handles a task whose start is in doubt and which the worker's report does
+   not contain: a stop request keeps the worker from starting it later. */
 void
 sched_task_resolve_in_doubt (struct run *run)
 {
@@ -154,7 +156,7 @@
   struct rst_scheduler *sched = run->team->sched;
 
   run->pending_calls--;
-  /* A start gives a lease as a renewal does. */
+  /* A start grants the task a lease, as a renewal does. */
   if (run->instance != NULL)
     run->instance->last_lease_call_at = sched_now (sched);
   if (run->instance != NULL)
@@ -205,7 +207,7 @@
       = sched_now (run->team->sched)
         + (rst_ms)MIN (request->task_start.deadline_ms, INT32_MAX);
   rst_breaker_record_request (&run->instance->breaker);
-  sched_task_log_event (run, "Task is placed.",
+  sched_task_log_event (run, "Task was placed on a worker.",
                         rst_policy_name (request->task_start.policy));
   send_start (run);
 }
@@ -228,7 +230,7 @@
   info->run_ms = (int64_t)task->run_ms;
 }
 
-/* A request for a task that is already here. */
+/* Handles a start request for a task that already has a run here. */
 static void
 handle_repeated_start (struct run *run, uint64_t link,
                        const struct rst_message *request)
@@ -256,7 +258,8 @@
                                             : RST_TASK_RUNNING);
 }
 
-/* An owner of the job that another has replaced must start nothing more. */
+/* Whether the request comes from an owner of the job that another scheduler
+   has replaced; such an owner must start no more tasks. */
 static bool
 is_outdated (struct rst_scheduler *sched, const struct rst_task_start *task)
 {
