--- a/src/coordination/sched_job.c
+++ b/src/coordination/sched_job.c
@@ -1,9 +1,10 @@
 /**
- * DOC: sched_job - jobs that this scheduler follows
+ * DOC: sched_job - jobs that this scheduler owns
  *
- * A job is accepted once its record is in the store.  Before tasks start, the
- * record states up to which number they may have been started; one write
- * covers many starts.  A successor asks all schedulers which of these run.
+ * A job is accepted once its record is stored.  The record's intent names the
+ * tasks that may have been started; it is stored before they are, with one
+ * write for many tasks.  A later owner of the job asks all schedulers which of
+ * these tasks run.
  */
 #include "coordination/sched_job_private.h"
 
@@ -12,10 +13,10 @@
 
 #define LOG_PREFIX "job"
 
-/** How long a finished job is kept. */
+/** How long a finished job is kept before its record is deleted. */
 #define FINISHED_RETENTION_MS 600000
 
-/** Longest time in which acceptance must be known. */
+/** Time after which the caller is told that acceptance is unknown. */
 #define ACCEPT_TIMEOUT_MS 5000
 
 void
@@ -105,7 +106,6 @@
   g_free (job);
 }
 
-/* Takes a job out of the table; it is freed once no call is under way. */
 void
 sched_job_drop (struct job *job)
 {
@@ -177,6 +177,9 @@
   sched->jobs_list_next_at = 0;
 }
 
+/* Ends waiting tasks and asks for reserved and running ones to be stopped,
+   again after START_RESEND_MS.  The others are handled once their state is
+   known. */
 static void
 cancel_tasks (struct job *job)
 {
@@ -253,7 +256,6 @@
     sched_job_write_record (job);
 }
 
-/* Returns false when the job was freed. */
 bool
 sched_job_advance (struct job *job)
 {
--- a/src/coordination/sched_job_call.c
+++ b/src/coordination/sched_job_call.c
@@ -1,4 +1,5 @@
-/* Callers' calls about jobs, answered here or passed on to the owner. */
+/* Calls of callers about jobs, replied to here or forwarded to the job's
+   owner. */
 #include "coordination/sched_job_private.h"
 
 #include <stdlib.h>
@@ -6,6 +7,8 @@
 
 #define LOG_PREFIX "job"
 
+/* Whether some worker is large enough for a task of the job; true while the
+   instances are not known.  Otherwise @problem says what is missing. */
 static bool
 can_fit_any_worker (struct rst_scheduler *sched,
                     const struct rst_job_spec *spec, GString *problem)
@@ -68,7 +71,7 @@
     {
       sched_job_send_rejection (sched, link, message->id, 503, "not-run",
                                 "not-ready",
-                                "this scheduler takes no jobs now");
+                                "this scheduler accepts no jobs now");
       goto done;
     }
   g_snprintf (record.name, sizeof record.name, "%s/%s", call->team, call->job);
@@ -108,6 +111,7 @@
   g_free (read);
 }
 
+/* Forwards a call to the job's owner, unless it was forwarded before. */
 static void
 forward_to_owner (struct job_read *read, const struct rst_job_record *record)
 {
@@ -129,6 +133,9 @@
                          read->caller_request_id);
 }
 
+/* The stored record is the reply for a job that has ended and, except to a
+   cancellation, for one whose owner cannot be reached.  Other calls are for
+   the owner. */
 static void
 reply_from_record (struct job_read *read, const struct rst_job_record *record)
 {
@@ -299,6 +306,14 @@
     }
 }
 
+/**
+ * struct job_forward - A call forwarded to a job's owner.
+ * @id: Message id of the forwarded call; its key in the table.
+ * @owner_link: Link to the owner, from which the reply must come.
+ * @caller_link: Link to the caller.
+ * @caller_request_id: Message id of the caller's request.
+ * @sent_at: Not used.
+ */
 struct job_forward
 {
   uint64_t id;
--- a/src/coordination/sched_job_find.c
+++ b/src/coordination/sched_job_find.c
@@ -1,5 +1,4 @@
-/* What a new owner of jobs learns of their tasks, and jobs without an owner.
- */
+/* Searches for tasks in doubt, and jobs that have lost their owner. */
 #include "coordination/sched_job_private.h"
 
 #include <stdlib.h>
@@ -7,12 +6,14 @@
 
 #define LOG_PREFIX "job"
 
-/** Time between two questions to schedulers about a job's tasks. */
+/** Time between two rounds of find requests of a search. */
 #define SEARCH_INTERVAL_MS 700
 
-/** Time between two searches for jobs without an owner. */
+/** Time between two scans of the store for jobs that have lost their owner. */
 #define ORPHAN_SCAN_INTERVAL_MS 30000
 
+/* Begins a search, or restarts the current one without the replies received so
+   far. */
 void
 sched_job_restart_search (struct job *job)
 {
@@ -26,6 +27,14 @@
   job->search_next_at = 0;
 }
 
+/**
+ * struct task_search - The state of a search in one round of find requests.
+ * @job: The job whose tasks are searched for.
+ * @all_replied: Each instance of the zones has an owner, and all members have
+ *   told all they know.
+ * @same_revision: The replies are based on the present revisions of the
+ *   ownership records.
+ */
 struct task_search
 {
   struct job *job;
@@ -33,8 +42,8 @@
   bool same_revision;
 };
 
-/* Answers that rest on different versions of the record may both have missed
-   an instance that changed hands between them. */
+/* Replies based on different revisions of a zone's ownership record may both
+   lack an instance that changed owners between them. */
 static void
 check_revisions (const struct rst_zone *zone, struct task_search *search)
 {
@@ -93,7 +102,8 @@
     }
 }
 
-/* All schedulers know all that runs: what was not found has no place. */
+/* All schedulers have told which tasks they know, so a task in doubt that none
+   has reported does not run. */
 static void
 finish_search (struct job *job)
 {
@@ -108,7 +118,8 @@
         else
           sched_job_handle_lost_task (job, &job->tasks[i]);
       }
-  sched_job_log_event (job, "All tasks of the job are accounted for.");
+  sched_job_log_event (
+      job, "Search for the job's tasks has ended; each was found or is lost.");
   g_hash_table_destroy (job->search_replies);
   job->search_replies = NULL;
 }
@@ -123,7 +134,8 @@
       || now < job->search_next_at)
     return;
   job->search_next_at = now + SEARCH_INTERVAL_MS;
-  /* An answer counts only for the question asked since the last change. */
+  /* Replies to requests from before a restart of the search have another id
+     and are ignored. */
   if (job->search_id == 0)
     job->search_id = sched_next_id (job->sched);
   rst_settings_records (job->sched->settings, send_find_requests, &search);
@@ -133,6 +145,8 @@
     finish_search (job);
 }
 
+/* Whether this scheduler is to take over a job: its owner was in this zone and
+   is no longer a member, and rendezvous hashing picks this member. */
 static bool
 should_claim (struct rst_scheduler *sched, const struct rst_job_record *record)
 {
@@ -170,6 +184,8 @@
   job = sched_job_create (sched, &record);
   job->claiming = true;
   job->stored_intent = record.intent;
+  /* The intent of a gang covers all its tasks once it may have been started,
+     and none before. */
   job->gang_started = record.intent >= record.spec.tasks;
   sched_job_write_record (job);
 }
--- a/src/coordination/sched_job_record.c
+++ b/src/coordination/sched_job_record.c
@@ -1,5 +1,5 @@
-/* Writing a job's record: one write at a time, each under the last revision.
- */
+/* Writes of a job's record: one at a time, each on condition that the stored
+   record has the revision last known. */
 #include "coordination/sched_job_private.h"
 
 #include <stdlib.h>
@@ -7,7 +7,8 @@
 
 #define LOG_PREFIX "job"
 
-/** Time between two writes of ends. */
+/** Least time between two writes that store ends of tasks.  Intents and
+ * cancellations are written without delay. */
 #define RECORD_WRITE_INTERVAL_MS 500
 
 static void on_record_written (const struct rst_platform_reply *reply,
@@ -123,8 +124,9 @@
   return true;
 }
 
-/* Another record stands under this name: a repeat of the same submission, or
-   another job; or another owner has taken the job over. */
+/* Handles a stored record of the job's name that the write under way did not
+   store: the job was submitted twice, another job has the name, or another
+   owner has taken the job over. */
 static void
 handle_record_conflict (struct job *job,
                         const struct rst_job_record *stored_record)
@@ -144,7 +146,8 @@
   sched_job_reject_caller (job, 409, "not-run", "id-in-use",
                            "id: another job of this team has it");
   if (job->accepted)
-    sched_job_log_event (job, "Job has another owner.");
+    sched_job_log_event (
+        job, "Job has another owner; it is no longer followed here.");
   sched_job_drop (job);
 }
 
@@ -166,6 +169,7 @@
     }
   if (revision == job->base_revision)
     {
+      /* The write was not applied. */
       put_record (job);
       return;
     }
--- a/src/coordination/sched_job_start.c
+++ b/src/coordination/sched_job_start.c
@@ -1,4 +1,4 @@
-/* Which of a job's tasks start, alone or as a gang. */
+/* Starts of a job's tasks, one by one or as a gang. */
 #include "coordination/sched_job_private.h"
 
 #include <stdlib.h>
@@ -6,15 +6,18 @@
 
 #define LOG_PREFIX "job"
 
-/** Most starts of one job that wait for their answer. */
+/** Most start requests of one job without a reply. */
 #define START_REQUESTS_MAX 64
 
-/** Time left for one start. */
+/** Time that the worker's owner has for one start. */
 #define START_DEADLINE_MS 4000
 
-/** Pause of a gang that did not get all places. */
+/** Pause of a gang that could not reserve workers for all its tasks. */
 #define GANG_RETRY_PAUSE_MS 600
 
+/* Link to the peer with the most free processor time, among those with a
+   worker that has enough of it, or 0.  Free processor time in the preferred
+   zones, this one or all others, counts four times. */
 static uint64_t
 choose_peer_link (struct rst_scheduler *sched, const struct rst_job_spec *spec,
                   char worker_owner[RST_NAME_SIZE], bool prefer_other_zone)
@@ -70,7 +73,10 @@
   return false;
 }
 
-/* The scheduler to ask for a place: here first, services in turn elsewhere. */
+/* Link to the scheduler that is asked for a worker, or 0: this one if it has
+   capacity, else a peer.  To spread services over schedulers, two of three
+   tasks of a service go to a peer if there is one, the first of the two
+   preferably in another zone, the second in this one. */
 static uint64_t
 choose_worker_owner (struct job *job, int64_t index,
                      char worker_owner[RST_NAME_SIZE])
@@ -133,7 +139,8 @@
       = sched_now (job->sched) + sched_jitter (job->sched, pause);
 }
 
-/* Returns false when the job should not go on now. */
+/* Requests the start of a task, or a reservation for a task of a gang. Returns
+   false and pauses the job's starts if no scheduler has capacity. */
 static bool
 request_start (struct job *job, int64_t index)
 {
@@ -187,7 +194,9 @@
     job->first_waiting = i;
 }
 
-/* Announces the next tasks before they are needed. */
+/* The intent is extended while half a batch of tasks may still be started, so
+   that starts need not wait for the write.  That of a gang covers all its
+   tasks once they are reserved, and none before. */
 void
 sched_job_extend_intent (struct job *job)
 {
@@ -225,7 +234,8 @@
     sched_send (job->sched, link, &message);
 }
 
-/* Gives all places back, so that two gangs never wait for each other. */
+/* Releases all reservations of a gang, so that two gangs never wait for each
+   other. */
 static void
 release_reservations (struct job *job)
 {
@@ -250,7 +260,8 @@
 start_gang (struct job *job)
 {
   job->gang_started = true;
-  sched_job_log_event (job, "Gang is started.");
+  sched_job_log_event (
+      job, "All tasks of the gang are reserved; the gang is started.");
   for (int64_t i = 0; i < job->record.spec.tasks; i++)
     {
       struct task *task = &job->tasks[i];
@@ -263,7 +274,7 @@
     }
 }
 
-/* Longest time in which a gang collects its places. */
+/** Time in which a gang must have reserved workers for all its tasks. */
 #define GANG_RESERVE_TIMEOUT_MS 2500
 
 void
--- a/src/coordination/sched_job_task.c
+++ b/src/coordination/sched_job_task.c
@@ -1,4 +1,4 @@
-/* Ends of a job's tasks and the answers of the schedulers that run them. */
+/* States of a job's tasks, and what the owners of their workers report. */
 #include "coordination/sched_job_private.h"
 
 #include <stdlib.h>
@@ -9,6 +9,13 @@
 /** Failures after which a task is not started again. */
 #define TASK_FAILURES_MAX 3
 
+/** Pause before a task that failed, or a service's task that ended, is started
+ * again; for a failing service it is multiplied by the number of failures. */
+#define RESTART_PAUSE_MS 500
+
+/** Most pauses by which a restart of a failing service is delayed. */
+#define SERVICE_RESTART_PAUSES_MAX 20
+
 static int64_t *
 get_state_counter (struct job *job, enum task_state state)
 {
@@ -68,7 +75,6 @@
   sched_job_set_task_state (job, task, TASK_WAITING);
 }
 
-/* A task that may have run and whose result nobody knows. */
 void
 sched_job_handle_lost_task (struct job *job, struct task *task)
 {
@@ -83,11 +89,13 @@
 {
   task->failures++;
   if (job->record.spec.policy == RST_POLICY_SERVICE)
-    restart_task (job, task, 500 * MIN (task->failures, 20));
+    restart_task (job, task,
+                  RESTART_PAUSE_MS
+                      * MIN (task->failures, SERVICE_RESTART_PAUSES_MAX));
   else if (job->record.spec.run_once || task->failures >= TASK_FAILURES_MAX)
     sched_job_end_task (job, task, 'f');
   else
-    restart_task (job, task, 500);
+    restart_task (job, task, RESTART_PAUSE_MS);
 }
 
 static void
@@ -97,7 +105,7 @@
     {
     case RST_TASK_DONE:
       if (job->record.spec.policy == RST_POLICY_SERVICE)
-        restart_task (job, task, 500);
+        restart_task (job, task, RESTART_PAUSE_MS);
       else
         sched_job_end_task (job, task, 'd');
       break;
@@ -141,7 +149,7 @@
   job->dirty = true;
 }
 
-/* Whether an event speaks of the attempt that counts. */
+/* Whether an event is about the task's current attempt. */
 static bool
 is_current_attempt (const struct job *job, const struct task *task,
                     uint64_t attempt)
@@ -151,7 +159,8 @@
   return attempt == sched_job_get_full_attempt (job, task);
 }
 
-/* The holder that was asked to stop a task does not have it. */
+/* Handles the reply that the worker's owner does not have the task that it was
+   asked to stop. */
 static void
 handle_task_not_found (struct job *job, struct task *task, uint64_t attempt)
 {
@@ -175,8 +184,8 @@
   struct task *task = &job->tasks[event->index];
 
   (void)sched;
-  /* Which attempt was the last is known once all schedulers have answered;
-     until then its end is reported again. */
+  /* Which attempt is the latest is known once all schedulers have replied;
+     until then the end is not acknowledged and is reported again. */
   if (task->state == TASK_IN_DOUBT)
     return;
   if (task->state != TASK_ENDED
@@ -215,12 +224,13 @@
       sched_job_pause_starts (
           job, event->reason[0] != '\0' ? event->reason : "no-capacity",
           START_RETRY_PAUSE_MS);
-      /* A gang keeps its other places until the time to collect is over. */
+      /* A gang keeps its other reservations until GANG_RESERVE_TIMEOUT_MS have
+         passed. */
       restart_task (job, task, 0);
       break;
     default:
-      /* It may be at this holder or, if its instance has changed hands, at
-         another. */
+      /* The task may be at this scheduler or, if its worker has changed
+         owners, at another. */
       task->latest_attempt = event->attempt;
       sched_job_set_task_state (job, task, TASK_IN_DOUBT);
       sched_job_restart_search (job);
@@ -228,7 +238,8 @@
     }
 }
 
-/* Keeps the revision of the ownership record that an answer rests on. */
+/* Remembers that a member has told all it knows, and the revision of the
+   ownership record that its reply is based on. */
 static void
 record_search_reply (struct job *job, const char *incarnation,
                      uint64_t revision)
@@ -258,7 +269,7 @@
         record_search_reply (job, incarnation, event->attempt);
       return;
     }
-  /* The last attempt counts; an earlier one has ended. */
+  /* The latest attempt counts; earlier ones have ended. */
   task = &job->tasks[event->index];
   if (task->state != TASK_IN_DOUBT || event->attempt < task->latest_attempt)
     return;
@@ -294,8 +305,8 @@
     handle_task_found (sched, job, link, message);
 }
 
-/* Asks again for starts that were not answered: the holder may have lost the
-   request or its link, and runs one id once. */
+/* The worker's owner may have lost the request or its link.  A repeated
+   request is safe, as it starts each id at most once. */
 void
 sched_job_resend_starts (struct job *job)
 {
@@ -319,7 +330,8 @@
         sched_job_send_start (job, i, link, hold);
       else if (!sched_is_member (sched, task->worker_owner))
         {
-          /* The holder's tenure has ended: its successor knows. */
+          /* The owner's tenure has ended; the worker's new owner knows whether
+             the task runs. */
           sched_job_set_task_state (job, task, TASK_IN_DOUBT);
           task->latest_attempt = sched_job_get_full_attempt (job, task);
           sched_job_restart_search (job);
@@ -327,8 +339,8 @@
     }
 }
 
-/* Looks for all running tasks once in a while: one that was lost while its
-   instance changed hands is reported by nobody. */
+/* A task that was lost while its instance changed owners is reported by no
+   scheduler, so all running tasks are searched for at intervals. */
 void
 sched_job_reconcile_running (struct job *job)
 {
@@ -353,8 +365,8 @@
   sched_job_restart_search (job);
 }
 
-/* Running tasks whose holder is gone are reported by its successor, to whom
-   stops must go. */
+/* Running tasks whose worker's owner is gone are reported by the worker's new
+   owner, to which stop requests must be sent. */
 void
 sched_job_check_worker_owners (struct job *job)
 {
