--- a/src/coordination/sched_job_task.c
+++ b/src/coordination/sched_job_task.c
@@ -312,7 +312,8 @@
 {
   struct rst_scheduler *sched = job->sched;
   rst_ms now = sched_now (sched);
-  bool hold = job->record.spec.policy == RST_POLICY_GANG && !job->gang_started;
+  bool hold_only
+      = job->record.spec.policy == RST_POLICY_GANG && !job->gang_started;
 
   if (job->start_requested_count == 0 || now < job->resend_next_at)
     return;
@@ -327,7 +328,7 @@
         continue;
       link = sched_link_to (sched, task->worker_owner);
       if (link != 0)
-        sched_job_send_start (job, i, link, hold);
+        sched_job_send_start (job, i, link, hold_only);
       else if (!sched_is_member (sched, task->worker_owner))
         {
           /* The owner's tenure has ended; the worker's new owner knows whether
--- a/src/coordination/sched_query.c
+++ b/src/coordination/sched_query.c
@@ -279,7 +279,7 @@
 }
 
 static gboolean
-taken_expired (gpointer key, gpointer value, gpointer userdata)
+message_expired (gpointer key, gpointer value, gpointer userdata)
 {
   (void)key;
   return *(const rst_ms *)value <= *(const rst_ms *)userdata;
@@ -333,7 +333,7 @@
       sched->sweep_next_at = now + SCHED_SWEEP_INTERVAL_MS;
       release_expired_runs (sched);
       g_hash_table_foreach_remove (sched->records, record_expired, &now);
-      g_hash_table_foreach_remove (sched->recent_messages, taken_expired,
+      g_hash_table_foreach_remove (sched->recent_messages, message_expired,
                                    &now);
     }
   sched_query_dispatch (sched);
