--- a/src/coordination/sched_job_private.h
+++ b/src/coordination/sched_job_private.h
@@ -51,7 +51,8 @@
  *   found, possibly of an earlier owner; 0 when the current attempt is the
  *   one that sched_job_get_full_attempt() returns.
  * @found: A scheduler has reported the task in the current search.
- * @request_sent_at: When the last start or stop request was sent.
+ * @request_sent_at: When the last start request, or the last stop request of a
+ *   cancelled job, was sent.
  * @start_not_before: Earliest time of its next start.
  * @worker_owner: Incarnation of the scheduler that owns the task's worker and
  *   receives its requests.
