--- a/src/coordination/sched_job_record.c
+++ b/src/coordination/sched_job_record.c
@@ -1,5 +1,5 @@
-/* Writing a job's record: one write at a time, each under the last revision.
- */
+/* Writes of a job's record: one at a time, each on condition that the stored
+   record has the revision last known. */
 #include "coordination/sched_job_private.h"
 
 #include <stdlib.h>
@@ -7,7 +7,8 @@
 
 #define LOG_PREFIX "job"
 
-/** Time between two writes of ends. */
+/** Least time between two writes that store ends of tasks.  Intents and
+ * cancellations are written without delay. */
 #define RECORD_WRITE_INTERVAL_MS 500
 
 static void on_record_written (const struct rst_platform_reply *reply,
@@ -26,7 +27,7 @@
   char *key = sched_job_build_key (job);
 
   sched->counters.store_writes++;
-  sched->platform->store_put (sched->platform_data, key, job->text,
+  sched->platform->store_put (sched->platform_data, key, job->written_text,
                               (int64_t)job->base_revision, 0,
                               on_record_written, job);
   g_free (key);
@@ -44,8 +45,8 @@
   job->intent_in_write = job->record.intent;
   CK_STAILQ_FOREACH (end_ack, &job->end_acks, entry)
   end_ack->in_write = true;
-  g_free (job->text);
-  job->text = rst_job_record_format (&job->record);
+  g_free (job->written_text);
+  job->written_text = rst_job_record_format (&job->record);
   put_record (job);
 }
 
@@ -123,17 +124,20 @@
   return true;
 }
 
-/* Another record stands under this name: a repeat of the same submission, or
-   another job; or another owner has taken the job over. */
+/* Handles a stored record of the job's name that the write under way did not
+   store: the job was submitted twice, another job has the name, or another
+   owner has taken the job over. */
 static void
-handle_record_conflict (struct job *job, const struct rst_job_record *present)
+handle_record_conflict (struct job *job,
+                        const struct rst_job_record *stored_record)
 {
-  bool same = rst_job_spec_equal (&job->record.spec, &present->spec);
+  bool same_spec
+      = rst_job_spec_equal (&job->record.spec, &stored_record->spec);
   char *text;
 
-  if (job->caller_awaits_reply && same)
+  if (job->caller_awaits_reply && same_spec)
     {
-      text = rst_job_record_describe (present, 0, NULL);
+      text = rst_job_record_describe (stored_record, 0, NULL);
       job->caller_awaits_reply = false;
       sched_job_send_reply (job->sched, job->caller_link,
                             job->caller_request_id, 200, text);
@@ -142,7 +146,8 @@
   sched_job_reject_caller (job, 409, "not-run", "id-in-use",
                            "id: another job of this team has it");
   if (job->accepted)
-    sched_job_log_event (job, "Job has another owner.");
+    sched_job_log_event (
+        job, "Job has another owner; it is no longer followed here.");
   sched_job_drop (job);
 }
 
@@ -150,7 +155,7 @@
 on_write_verified (const struct rst_platform_reply *reply, void *data)
 {
   struct job *job = data;
-  struct rst_job_record present = { 0 };
+  struct rst_job_record stored_record = { 0 };
   bool found = reply->result == RST_PLATFORM_OK && reply->kv_count == 1;
   uint64_t revision = found ? reply->kvs[0].revision : 0;
 
@@ -164,11 +169,12 @@
     }
   if (revision == job->base_revision)
     {
+      /* The write was not applied. */
       put_record (job);
       return;
     }
   if (!found
-      || rst_job_record_parse (reply->kvs[0].value, revision, &present)
+      || rst_job_record_parse (reply->kvs[0].value, revision, &stored_record)
              != RST_STATE_OK)
     {
       job->store_busy = false;
@@ -177,15 +183,15 @@
       sched_job_drop (job);
       return;
     }
-  if (strcmp (present.owner, job->record.owner) == 0
-      && present.write_number == job->record.write_number)
+  if (strcmp (stored_record.owner, job->record.owner) == 0
+      && stored_record.write_number == job->record.write_number)
     handle_stored_record (job, revision);
   else
     {
       job->store_busy = false;
-      handle_record_conflict (job, &present);
+      handle_record_conflict (job, &stored_record);
     }
-  rst_job_record_clear (&present);
+  rst_job_record_clear (&stored_record);
 }
 
 void
--- a/src/coordination/sched_query_intake.c
+++ b/src/coordination/sched_query_intake.c
@@ -1,19 +1,20 @@
-/* Which queries are taken: keys, repeats, limits, homes. */
+/* Admission of queries: duplicates, request ids and full queues; and queues
+   that other schedulers can serve. */
 #include "coordination/sched_query_private.h"
 
 #include <string.h>
 
 #define LOG_PREFIX "query"
 
-/** How long a message may arrive a second time. */
+/** How long the messages received are remembered to detect duplicates. */
 #define DUPLICATE_WINDOW_MS 5000
 
 #define HTTP_STATUS_CONFLICT 409
 
 #define HTTP_STATUS_TOO_MANY 429
 
-/* Answers a repeat from the record of its request.  Returns false when the
-   request is new. */
+/* Handles a request whose id is known: replies as recorded or lets it wait for
+   the query's end.  Returns false if the id is not known. */
 static bool
 reply_to_repeat (struct rst_scheduler *sched, uint64_t link,
                  const struct rst_message *message, const char *key)
@@ -25,9 +26,9 @@
     return false;
   if (record->home_moved)
     {
-      sched_query_reject_message (sched, link, message->id,
-                                  HTTP_STATUS_UNAVAILABLE, "home-changed",
-                                  "another scheduler keeps this id now");
+      sched_query_reject_message (
+          sched, link, message->id, HTTP_STATUS_UNAVAILABLE, "home-changed",
+          "another scheduler handles this request id now");
       return true;
     }
   if (record->running_query != NULL)
@@ -41,7 +42,7 @@
   return true;
 }
 
-/* Whether this very message was taken before. */
+/* Whether this message was received before; if not, remembers it. */
 static bool
 is_duplicate (struct rst_scheduler *sched, uint64_t link, uint64_t id)
 {
@@ -63,7 +64,8 @@
               const struct rst_message *message)
 {
   const struct rst_query *request = &message->query;
-  rst_ms bound = rst_settings_cell (sched->settings)->max_deadline_ms;
+  rst_ms max_deadline_ms
+      = rst_settings_cell (sched->settings)->max_deadline_ms;
   rst_ms now = sched_now (sched);
   struct query *query = g_new0 (struct query, 1);
 
@@ -74,7 +76,8 @@
   query->urgent = request->urgent;
   query->hops = request->hops;
   query->deadline
-      = now + MIN ((rst_ms)MIN (request->deadline_ms, INT32_MAX), bound);
+      = now
+        + MIN ((rst_ms)MIN (request->deadline_ms, INT32_MAX), max_deadline_ms);
   g_strlcpy (query->request_id, request->request_id, sizeof query->request_id);
   rst_blob_set (&query->body, request->body.data, request->body.length);
   CK_LIST_INIT (&query->waiters);
@@ -99,7 +102,7 @@
 sched_query_place (struct query *query)
 {
   struct rst_scheduler *sched = query->sched;
-  int64_t bound = rst_settings_cell (sched->settings)->queue_per_team;
+  int64_t max_queued = rst_settings_cell (sched->settings)->queue_per_team;
   struct peer *peer;
 
   if (query->hops == 0 && !sched_query_has_free_slot (sched))
@@ -111,10 +114,10 @@
   if (!sched_may_start (sched))
     {
       sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "not-ready",
-                          "this scheduler takes no work now");
+                          "this scheduler accepts no queries now");
       return;
     }
-  if (query->team->queued >= bound)
+  if (query->team->queued >= max_queued)
     {
       sched_query_reject (query, HTTP_STATUS_TOO_MANY, "queue-full",
                           "too many of the team's queries are waiting");
@@ -130,8 +133,9 @@
   sched_query_end_unknown (query, HTTP_STATUS_TIMEOUT, "", 0, detail);
 }
 
-/* A request with the caller's id runs only at its home, and only when no
-   earlier home can have run it. */
+/* Places a request with the caller's id.  It runs only at its home, the
+   member that its id is assigned to, and only if no earlier home can have run
+   it. */
 static void
 place_keyed_query (struct query *query)
 {
@@ -144,11 +148,12 @@
       query->sched->awaiting_home_replies = true;
       break;
     case RECORD_IN_DOUBT:
-      sched_query_end_in_doubt (query, "an earlier home of this id is lost");
+      sched_query_end_in_doubt (
+          query, "a scheduler that may have run the request is lost");
       break;
     case RECORD_ELSEWHERE:
       sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "home-changed",
-                          "another scheduler keeps this id now");
+                          "another scheduler handles this request id now");
       break;
     }
 }
@@ -193,7 +198,8 @@
   place_keyed_query (query);
 }
 
-/* Queries that wait here while peers have room go there. */
+/* Forwards queued queries in order while peers have free slots.  A query that
+   was forwarded to this scheduler stays here. */
 static void
 offload_queue (struct rst_scheduler *sched, struct query_queue *queue)
 {
@@ -231,7 +237,8 @@
     }
 }
 
-/* What cannot be started here goes elsewhere at once. */
+/* Forwards each queued query, or rejects it if it was forwarded here or no
+   peer has a free slot. */
 static void
 flush_queue (struct rst_scheduler *sched, struct query_queue *queue)
 {
@@ -245,7 +252,7 @@
       sched_query_dequeue_head (queue);
       if (peer == NULL || !sched_query_forward (query, peer))
         sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "not-ready",
-                            "this scheduler takes no work now");
+                            "this scheduler accepts no queries now");
     }
 }
 
