--- a/src/cell/plan_advice.c
+++ b/src/cell/plan_advice.c
@@ -44,25 +44,26 @@
 void
 rst_plan_advice_request_free (gpointer data)
 {
-  struct ask *ask = data;
+  struct advice_request *request = data;
 
-  g_ptr_array_free (ask->ids, TRUE);
-  g_free (ask);
+  g_ptr_array_free (request->ids, TRUE);
+  g_free (request);
 }
 
 const char *
 rst_plan_find_ticket (const struct rst_planner *planner,
                       const struct step *step, const struct instance *instance)
 {
-  struct leave *leave;
+  struct approval *approval;
 
   if (!step->occurrence->job->queue->settings.needs_approval)
     return "";
-  leave = g_hash_table_lookup (step->leaves, instance->entry.id);
-  if (leave == NULL || leave->rejected || leave->born != instance->born
-      || leave->expires_at <= planner->now)
+  approval = g_hash_table_lookup (step->approvals, instance->entry.id);
+  if (approval == NULL || approval->rejected
+      || approval->born != instance->born
+      || approval->expires_at <= planner->now)
     return NULL;
-  return leave->ticket;
+  return approval->ticket;
 }
 
 struct candidate
@@ -89,23 +90,24 @@
 find_request_candidates (struct rst_planner *planner, const struct step *step)
 {
   GArray *found = g_array_new (FALSE, FALSE, sizeof (struct candidate));
-  double approval = step->occurrence->job->queue->approval;
+  double approval_rate = step->occurrence->job->queue->approval_rate;
   bool gang = step->spec->gang;
 
-  for (guint i = 0; i < planner->usable->len; i++)
+  for (guint i = 0; i < planner->schedulable_instances->len; i++)
     {
-      struct instance *instance = g_ptr_array_index (planner->usable, i);
-      struct candidate candidate = { instance, 0, approval, 0.0 };
-      struct leave *leave;
+      struct instance *instance
+          = g_ptr_array_index (planner->schedulable_instances, i);
+      struct candidate candidate = { instance, 0, approval_rate, 0.0 };
+      struct approval *approval;
 
       candidate.slots = rst_plan_count_slots (instance, step);
       if (candidate.slots == 0 && (!gang || step->advice_requested))
         continue;
-      leave = g_hash_table_lookup (step->leaves, instance->entry.id);
-      if ((leave != NULL && leave->rejected)
+      approval = g_hash_table_lookup (step->approvals, instance->entry.id);
+      if ((approval != NULL && approval->rejected)
           || !rst_plan_instance_is_eligible (instance, step))
         continue;
-      if (leave != NULL)
+      if (approval != NULL)
         candidate.chance = 1.0;
       /* A gang needs many places; single tasks take the tightest fit. */
       candidate.score
@@ -143,11 +145,11 @@
   double expected = 0.0;
   double wanted = tasks * REQUESTED_SLOTS_FACTOR;
   int named = 0;
-  bool first = step->spec->gang && !step->advice_requested;
-  int named_min
-      = first ? FIRST_GANG_REQUEST_INSTANCES_MIN : REQUEST_INSTANCES_MIN;
-  int named_max
-      = first ? FIRST_GANG_REQUEST_INSTANCES_MAX : REQUEST_INSTANCES_MAX;
+  bool is_first_gang_request = step->spec->gang && !step->advice_requested;
+  int named_min = is_first_gang_request ? FIRST_GANG_REQUEST_INSTANCES_MIN
+                                        : REQUEST_INSTANCES_MIN;
+  int named_max = is_first_gang_request ? FIRST_GANG_REQUEST_INSTANCES_MAX
+                                        : REQUEST_INSTANCES_MAX;
 
   for (guint i = 0; i < found->len && named < named_max; i++)
     {
@@ -166,7 +168,7 @@
 
 /* The agent that will answer first.  Long calls leave some agents free. */
 static struct agent *
-choose_agent (struct rst_planner *planner, int64_t cost_ms)
+choose_advice_agent (struct rst_planner *planner, int64_t expected_ms)
 {
   struct agent *best = NULL;
   guint long_requests = 0;
@@ -178,7 +180,7 @@
       if (agent->open_requests > 0
           && agent->busy_until - planner->now > LONG_REQUEST_MS)
         long_requests++;
-      if (cost_ms > LONG_REQUEST_MS
+      if (expected_ms > LONG_REQUEST_MS
               ? agent->open_requests > 0
               : agent->open_requests > QUEUED_REQUESTS_MAX)
         continue;
@@ -187,7 +189,7 @@
                  < MAX (best->busy_until, planner->now))
         best = agent;
     }
-  if (cost_ms > LONG_REQUEST_MS
+  if (expected_ms > LONG_REQUEST_MS
       && (long_requests + 1) * 100
              > MAX (planner->agents->len * LONG_REQUEST_AGENTS_PERCENT, 100))
     return NULL;
@@ -195,47 +197,47 @@
 }
 
 static void
-format_step_name (const struct ask *ask, char *out, size_t size)
+format_step_name (const struct advice_request *request, char *out, size_t size)
 {
-  g_snprintf (out, size, "%s.%" PRId64 ".%d", ask->id, ask->occurrence,
-              ask->step);
+  g_snprintf (out, size, "%s.%" PRId64 ".%d", request->id, request->occurrence,
+              request->step);
 }
 
 /* One line a call: which step, over how many instances, with what outcome. */
 static void
-log_request (const struct ask *ask, const char *sentence, int64_t took_ms,
-             int approved)
+log_request (const struct advice_request *request, const char *sentence,
+             int64_t took_ms, int approved)
 {
   char name[RST_TASK_NAME_SIZE];
   char named[16];
-  char took[24];
-  char yes[16];
+  char took_text[24];
+  char approved_text[16];
 
   if (!rst_log_enabled (G_LOG_LEVEL_INFO))
     return;
-  format_step_name (ask, name, sizeof name);
-  g_snprintf (named, sizeof named, "%u", ask->ids->len);
-  g_snprintf (took, sizeof took, "%" PRId64, took_ms);
-  g_snprintf (yes, sizeof yes, "%d", approved);
-  rst_info (RST_PLAN_LOG, sentence, "step", name, "named", named, "ms", took,
-            "approved", yes);
+  format_step_name (request, name, sizeof name);
+  g_snprintf (named, sizeof named, "%u", request->ids->len);
+  g_snprintf (took_text, sizeof took_text, "%" PRId64, took_ms);
+  g_snprintf (approved_text, sizeof approved_text, "%d", approved);
+  rst_info (RST_PLAN_LOG, sentence, "step", name, "named", named, "ms",
+            took_text, "approved", approved_text);
 }
 
 static void
-send_request (struct rst_planner *planner, struct ask *ask)
+send_request (struct rst_planner *planner, struct advice_request *request)
 {
   struct rst_pack pack;
   char name[RST_TASK_NAME_SIZE];
 
-  format_step_name (ask, name, sizeof name);
+  format_step_name (request, name, sizeof name);
   rst_pack_init (&pack, 4);
   rst_pack_int (&pack, RST_MSG_ADVISE);
-  rst_pack_int (&pack, (int64_t)ask->handle);
+  rst_pack_int (&pack, (int64_t)request->handle);
   rst_pack_text (&pack, name);
-  rst_pack_array (&pack, ask->ids->len);
-  for (guint i = 0; i < ask->ids->len; i++)
-    rst_pack_text (&pack, g_ptr_array_index (ask->ids, i));
-  rst_plan_send (planner, ask->link, &pack);
+  rst_pack_array (&pack, request->ids->len);
+  for (guint i = 0; i < request->ids->len; i++)
+    rst_pack_text (&pack, g_ptr_array_index (request->ids, i));
+  rst_plan_send (planner, request->link, &pack);
 }
 
 void
@@ -245,50 +247,50 @@
   const struct job *job = step->occurrence->job;
   GArray *found;
   int named;
-  int64_t cost_ms;
+  int64_t expected_ms;
   struct agent *agent;
-  struct ask *ask;
+  struct advice_request *request;
 
   if (planner->now < step->next_request_at
       || !rst_plan_is_below_limit (step, step->spec->gang ? tasks : 1))
     return;
   /* While all agents are busy there is no point in looking further. */
-  if (choose_agent (planner, job->queue->settings.advice_ms) == NULL)
+  if (choose_advice_agent (planner, job->queue->settings.advice_ms) == NULL)
     return;
   found = find_request_candidates (planner, step);
   named = count_instances_to_name (found, step, tasks);
-  cost_ms = job->queue->settings.advice_ms
-            + named * job->queue->settings.advice_per_instance_us / 1000;
-  agent = named > 0 ? choose_agent (planner, cost_ms) : NULL;
+  expected_ms = job->queue->settings.advice_ms
+                + named * job->queue->settings.advice_per_instance_us / 1000;
+  agent = named > 0 ? choose_advice_agent (planner, expected_ms) : NULL;
   if (agent == NULL)
     {
       g_array_free (found, TRUE);
       return;
     }
-  ask = g_new0 (struct ask, 1);
-  ask->handle = planner->next_handle++;
-  g_strlcpy (ask->id, job->id, sizeof ask->id);
-  ask->occurrence = step->occurrence->number;
-  ask->step = step->index;
-  ask->link = agent->link;
-  ask->cost_ms = cost_ms;
-  ask->sent_at = planner->now;
-  ask->ids = g_ptr_array_new_with_free_func (g_free);
+  request = g_new0 (struct advice_request, 1);
+  request->handle = planner->next_handle++;
+  g_strlcpy (request->id, job->id, sizeof request->id);
+  request->occurrence = step->occurrence->number;
+  request->step = step->index;
+  request->link = agent->link;
+  request->expected_ms = expected_ms;
+  request->sent_at = planner->now;
+  request->ids = g_ptr_array_new_with_free_func (g_free);
   for (int i = 0; i < named; i++)
     g_ptr_array_add (
-        ask->ids,
+        request->ids,
         g_strdup (
             g_array_index (found, struct candidate, i).instance->entry.id));
   agent->open_requests++;
-  agent->busy_until = MAX (agent->busy_until, planner->now) + cost_ms;
-  ask->reserves_room = cost_ms <= RESERVING_REQUEST_MAX_MS
-                       || (step->spec->gang && step->advice_requested);
-  step->ask = ask;
+  agent->busy_until = MAX (agent->busy_until, planner->now) + expected_ms;
+  request->reserves_room = expected_ms <= RESERVING_REQUEST_MAX_MS
+                           || (step->spec->gang && step->advice_requested);
+  step->advice_request = request;
   step->advice_requested = true;
-  g_hash_table_insert (planner->asks, &ask->handle, ask);
+  g_hash_table_insert (planner->advice_requests, &request->handle, request);
   planner->stats.advice_calls++;
-  log_request (ask, "Advice is asked for.", cost_ms, 0);
-  send_request (planner, ask);
+  log_request (request, "Advice is asked for.", expected_ms, 0);
+  send_request (planner, request);
   g_array_free (found, TRUE);
 }
 
@@ -297,18 +299,19 @@
 rst_plan_reserve_requested (struct rst_planner *planner, struct step *step,
                             int tasks)
 {
-  const struct ask *ask = step->ask;
+  const struct advice_request *request = step->advice_request;
   double wanted = tasks;
 
-  for (guint i = 0; ask->reserves_room && wanted > 0.0 && i < ask->ids->len;
-       i++)
+  for (guint i = 0;
+       request->reserves_room && wanted > 0.0 && i < request->ids->len; i++)
     {
       struct instance *instance = g_hash_table_lookup (
-          planner->instances, g_ptr_array_index (ask->ids, i));
-      struct leave *leave = g_hash_table_lookup (
-          step->leaves, g_ptr_array_index (ask->ids, i));
-      double chance
-          = leave != NULL ? 1.0 : step->occurrence->job->queue->approval;
+          planner->instances, g_ptr_array_index (request->ids, i));
+      struct approval *approval = g_hash_table_lookup (
+          step->approvals, g_ptr_array_index (request->ids, i));
+      double chance = approval != NULL
+                          ? 1.0
+                          : step->occurrence->job->queue->approval_rate;
       int slots;
 
       if (instance == NULL)
@@ -320,57 +323,60 @@
 }
 
 static struct step *
-find_step (struct rst_planner *planner, const struct ask *ask)
+find_step (struct rst_planner *planner, const struct advice_request *request)
 {
-  struct job *job = g_hash_table_lookup (planner->jobs, ask->id);
+  struct job *job = g_hash_table_lookup (planner->jobs, request->id);
   struct occurrence *occurrence
-      = job != NULL ? rst_plan_find_occurrence (job, ask->occurrence) : NULL;
+      = job != NULL ? rst_plan_find_occurrence (job, request->occurrence)
+                    : NULL;
 
-  return occurrence != NULL ? &occurrence->steps[ask->step] : NULL;
+  return occurrence != NULL ? &occurrence->steps[request->step] : NULL;
 }
 
 static void
-end_request (struct rst_planner *planner, struct ask *ask, rst_ms pause_ms)
+end_request (struct rst_planner *planner, struct advice_request *request,
+             rst_ms pause_ms)
 {
-  struct step *step = find_step (planner, ask);
+  struct step *step = find_step (planner, request);
 
   if (step != NULL)
     {
-      step->ask = NULL;
+      step->advice_request = NULL;
       step->next_request_at = planner->now + pause_ms;
     }
   for (guint i = 0; i < planner->agents->len; i++)
     {
       struct agent *agent = g_ptr_array_index (planner->agents, i);
 
-      if (agent->link == ask->link && --agent->open_requests <= 0)
+      if (agent->link == request->link && --agent->open_requests <= 0)
         {
           agent->open_requests = 0;
           agent->busy_until = planner->now;
         }
     }
-  g_hash_table_remove (planner->asks, &ask->handle);
+  g_hash_table_remove (planner->advice_requests, &request->handle);
   planner->changed = true;
 }
 
 void
 rst_plan_end_link_requests (struct rst_planner *planner, uint64_t link)
 {
-  GList *asks = g_hash_table_get_values (planner->asks);
+  GList *requests = g_hash_table_get_values (planner->advice_requests);
 
-  for (GList *item = asks; item != NULL; item = item->next)
+  for (GList *item = requests; item != NULL; item = item->next)
     {
-      struct ask *ask = item->data;
+      struct advice_request *request = item->data;
 
-      if (ask->link == link)
-        end_request (planner, ask, 0);
+      if (request->link == link)
+        end_request (planner, request, 0);
     }
-  g_list_free (asks);
+  g_list_free (requests);
 }
 
 static void
-record_approvals (struct rst_planner *planner, const struct ask *ask,
-                  struct step *step, struct rst_reader *rows)
+record_approvals (struct rst_planner *planner,
+                  const struct advice_request *request, struct step *step,
+                  struct rst_reader *rows)
 {
   struct queue *queue = step->occurrence->job->queue;
   GHashTable *approved
@@ -384,30 +390,30 @@
 
       g_hash_table_insert (approved, id, ticket);
     }
-  for (guint i = 0; i < ask->ids->len; i++)
+  for (guint i = 0; i < request->ids->len; i++)
     {
-      const char *id = g_ptr_array_index (ask->ids, i);
+      const char *id = g_ptr_array_index (request->ids, i);
       const char *ticket = g_hash_table_lookup (approved, id);
       struct instance *instance = g_hash_table_lookup (planner->instances, id);
-      struct leave *leave = g_hash_table_lookup (step->leaves, id);
+      struct approval *approval = g_hash_table_lookup (step->approvals, id);
 
       if (instance == NULL)
         continue;
-      if (leave == NULL)
+      if (approval == NULL)
         {
-          queue->approval
+          queue->approval_rate
               += APPROVAL_RATE_WEIGHT
-                 * ((ticket != NULL ? 1.0 : 0.0) - queue->approval);
-          leave = g_new0 (struct leave, 1);
-          g_hash_table_insert (step->leaves, g_strdup (id), leave);
+                 * ((ticket != NULL ? 1.0 : 0.0) - queue->approval_rate);
+          approval = g_new0 (struct approval, 1);
+          g_hash_table_insert (step->approvals, g_strdup (id), approval);
         }
-      leave->rejected = ticket == NULL;
-      leave->born = instance->born;
+      approval->rejected = ticket == NULL;
+      approval->born = instance->born;
       /* Validity counts from the answer, which came a moment ago. */
-      leave->expires_at
+      approval->expires_at
           = planner->now + queue->settings.advice_valid_ms - TICKET_MARGIN_MS;
       if (ticket != NULL)
-        g_strlcpy (leave->ticket, ticket, sizeof leave->ticket);
+        g_strlcpy (approval->ticket, ticket, sizeof approval->ticket);
     }
   g_hash_table_destroy (approved);
 }
@@ -419,24 +425,26 @@
   uint64_t handle = (uint64_t)rst_reader_read_int (reader);
   enum rst_result result = (enum rst_result)rst_reader_read_int (reader);
   struct rst_reader rows = rst_reader_read_array (reader);
-  struct ask *ask = g_hash_table_lookup (planner->asks, &handle);
+  struct advice_request *request
+      = g_hash_table_lookup (planner->advice_requests, &handle);
   struct step *step;
 
-  if (reader->bad || ask == NULL)
+  if (reader->bad || request == NULL)
     return;
-  rst_histogram_add (&planner->stats.advice_ms, planner->now - ask->sent_at);
+  rst_histogram_add (&planner->stats.advice_ms,
+                     planner->now - request->sent_at);
   if (result != RST_RESULT_OK)
     {
       planner->stats.advice_failed++;
-      rst_info (RST_PLAN_LOG, "Call for advice failed.", "job", ask->id,
+      rst_info (RST_PLAN_LOG, "Call for advice failed.", "job", request->id,
                 "result", rst_result_name (result));
-      end_request (planner, ask, FAILED_REQUEST_PAUSE_MS);
+      end_request (planner, request, FAILED_REQUEST_PAUSE_MS);
       return;
     }
-  log_request (ask, "Advice came.", planner->now - ask->sent_at,
+  log_request (request, "Advice came.", planner->now - request->sent_at,
                (int)rows.count);
-  step = find_step (planner, ask);
+  step = find_step (planner, request);
   if (step != NULL)
-    record_approvals (planner, ask, step, &rows);
-  end_request (planner, ask, REQUEST_PAUSE_MS);
+    record_approvals (planner, request, step, &rows);
+  end_request (planner, request, REQUEST_PAUSE_MS);
 }
--- a/src/cell/plan_instances.c
+++ b/src/cell/plan_instances.c
@@ -78,8 +78,8 @@
   for (guint i = 0; i < planner->agents->len; i++)
     {
       struct agent *agent = g_ptr_array_index (planner->agents, i);
-      bool near = strcmp (agent->zone, instance->entry.zone) == 0;
-      int score = agent->instance_count + (near ? 0 : 100000);
+      bool is_same_zone = strcmp (agent->zone, instance->entry.zone) == 0;
+      int score = agent->instance_count + (is_same_zone ? 0 : 100000);
 
       if (best == NULL || score < best_score)
         {
@@ -194,13 +194,15 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       struct instance *instance = value;
-      bool near = strcmp (agent->zone, instance->entry.zone) == 0;
-      bool far = instance->agent != NULL
-                 && strcmp (instance->agent->zone, instance->entry.zone) != 0;
+      bool is_same_zone = strcmp (agent->zone, instance->entry.zone) == 0;
+      bool is_other_zone
+          = instance->agent != NULL
+            && strcmp (instance->agent->zone, instance->entry.zone) != 0;
 
-      if (instance->agent == NULL || !near)
+      if (instance->agent == NULL || !is_same_zone)
         continue;
-      if (far || instance->agent->instance_count > agent->instance_count + 1)
+      if (is_other_zone
+          || instance->agent->instance_count > agent->instance_count + 1)
         assign_to_agent (planner, instance, agent);
     }
 }
@@ -332,7 +334,7 @@
                                   const struct instance *instance)
 {
   return instance->registered && instance->runs_known && instance->recorded
-         && !instance->blocked && instance->agent != NULL
+         && !instance->has_unknown_run && instance->agent != NULL
          && !instance->entry.draining && !may_be_replaced (planner, instance)
          && planner->now >= instance->paused_until
          && !g_hash_table_contains (planner->evacuated_zones,
@@ -388,7 +390,7 @@
     rst_plan_run_remove (planner, task->run);
   if (task == NULL || task->run != NULL || task->done || !job->stored)
     {
-      instance->blocked = true;
+      instance->has_unknown_run = true;
       stop_unknown_run (planner, instance, listed);
       return;
     }
@@ -438,10 +440,10 @@
   for (GList *item = runs; item != NULL; item = item->next)
     {
       struct run *run = item->data;
-      bool settled = run->state == RUN_RUNNING
-                     || (run->state == RUN_STOPPING && run->stop_answered);
+      bool is_answered = run->state == RUN_RUNNING
+                         || (run->state == RUN_STOPPING && run->stop_answered);
 
-      if (!settled || clock_ms <= run->clock_ms
+      if (!is_answered || clock_ms <= run->clock_ms
           || g_hash_table_contains (listed, run->name))
         continue;
       rst_plan_run_mark_lost (planner, run, "not listed");
@@ -457,7 +459,7 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   int64_t last_seen_end = instance->last_seen_end;
 
-  instance->blocked = false;
+  instance->has_unknown_run = false;
   for (uint32_t i = 0; i < runs->count; i++)
     {
       struct rst_run run = read_run (runs);
--- a/src/cell/plan_jobs.c
+++ b/src/cell/plan_jobs.c
@@ -18,7 +18,7 @@
     return queue;
   queue = g_new0 (struct queue, 1);
   queue->settings.name = g_strdup (name);
-  queue->approval = 0.5;
+  queue->approval_rate = 0.5;
   g_hash_table_insert (planner->queues, queue->settings.name, queue);
   return queue;
 }
@@ -46,7 +46,7 @@
   for (int i = 0; i < desc->step_count; i++)
     {
       g_free (occurrence->steps[i].tasks);
-      g_hash_table_destroy (occurrence->steps[i].leaves);
+      g_hash_table_destroy (occurrence->steps[i].approvals);
     }
   g_free (occurrence->steps);
   g_free (occurrence);
@@ -118,7 +118,7 @@
   step->tasks_left = step->spec->count;
   step->tasks_waiting = step->spec->count;
   step->tasks = g_new0 (struct task, step->spec->count);
-  step->leaves
+  step->approvals
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   for (int i = 0; i < step->spec->count; i++)
     {
@@ -303,8 +303,8 @@
 }
 
 static void
-reply (struct rst_planner *planner, const struct rst_planner_call *call,
-       enum rst_outcome outcome)
+send_reply (struct rst_planner *planner, const struct rst_planner_call *call,
+            enum rst_outcome outcome)
 {
   struct rst_reply answer = { .outcome = outcome };
 
@@ -350,12 +350,13 @@
 is_over_share (struct rst_planner *planner, struct customer *customer)
 {
   double weight = (double)MAX (customer->settings.weight, 1);
-  double passed = (double)(planner->now - customer->share_tokens_at) / 1000.0;
+  double elapsed_s
+      = (double)(planner->now - customer->share_tokens_at) / 1000.0;
 
   if (customer->share_tokens_at == 0)
     customer->share_tokens = weight * SHARE_BURST_S;
   else
-    customer->share_tokens = MIN (customer->share_tokens + passed * weight,
+    customer->share_tokens = MIN (customer->share_tokens + elapsed_s * weight,
                                   weight * SHARE_BURST_S);
   customer->share_tokens_at = planner->now;
   if (customer->share_tokens < 1.0)
@@ -382,7 +383,7 @@
     {
       rst_jobdesc_destroy (call->desc);
       if (job->stored)
-        reply (planner, call, RST_OUTCOME_OK);
+        send_reply (planner, call, RST_OUTCOME_OK);
       else
         reply_after_commit (job, call);
       return;
@@ -392,7 +393,7 @@
                           call->desc);
   job->over_share = is_over_share (planner, customer);
   if (RST_CELL_FAULT (RST_CELL_FAULT_EARLY_ACCEPT))
-    reply (planner, call, RST_OUTCOME_OK);
+    send_reply (planner, call, RST_OUTCOME_OK);
   else
     reply_after_commit (job, call);
   rst_plan_mark (planner, job);
@@ -436,12 +437,12 @@
 
   if (job == NULL)
     {
-      reply (planner, call, RST_OUTCOME_NO_JOB);
+      send_reply (planner, call, RST_OUTCOME_NO_JOB);
       return;
     }
   rst_plan_end_job (planner, job, RST_JOB_CANCELLED);
   if (job->committed_state == job->state)
-    reply (planner, call, RST_OUTCOME_OK);
+    send_reply (planner, call, RST_OUTCOME_OK);
   else
     reply_after_commit (job, call);
 }
@@ -471,11 +472,11 @@
 
   planner->changed = true;
   if (route == NULL)
-    reply (planner, call, RST_OUTCOME_NO_QUEUE);
+    send_reply (planner, call, RST_OUTCOME_NO_QUEUE);
   else if (customer == NULL)
-    reply (planner, call, RST_OUTCOME_INVALID_KEY);
+    send_reply (planner, call, RST_OUTCOME_INVALID_KEY);
   else if (id[0] != '\0' && !is_job_id (id))
-    reply (planner, call, RST_OUTCOME_MALFORMED);
+    send_reply (planner, call, RST_OUTCOME_MALFORMED);
   else if (call->operation == RST_OPERATION_READ)
     reply_with_state (planner, call, rst_plan_get_queue (planner, route->name),
                       id);
@@ -487,6 +488,6 @@
       return;
     }
   else
-    reply (planner, call, RST_OUTCOME_MALFORMED);
+    send_reply (planner, call, RST_OUTCOME_MALFORMED);
   rst_jobdesc_destroy (call->desc);
 }
--- a/src/cell/plan_pace.c
+++ b/src/cell/plan_pace.c
@@ -17,7 +17,7 @@
 }
 
 static bool
-best_effort (const struct run *run)
+is_best_effort (const struct run *run)
 {
   return run->task->step->spec->best_effort;
 }
@@ -37,7 +37,7 @@
     {
       const struct run *run = value;
 
-      *has_best_effort |= best_effort (run);
+      *has_best_effort |= is_best_effort (run);
       if (has_response_bound (run))
         worst
             = MAX (worst, run->usage * 100 / run->task->step->spec->target_ms);
@@ -78,15 +78,16 @@
 static void
 log_pace (const struct run *run, int64_t load)
 {
-  char pace[16];
-  char share[24];
+  char pace_text[16];
+  char load_text[24];
 
   if (!rst_log_enabled (G_LOG_LEVEL_INFO))
     return;
-  g_snprintf (pace, sizeof pace, "%d", run->pace);
-  g_snprintf (share, sizeof share, "%" PRId64, load);
+  g_snprintf (pace_text, sizeof pace_text, "%d", run->pace);
+  g_snprintf (load_text, sizeof load_text, "%" PRId64, load);
   rst_info (RST_PLAN_LOG, "Pace is changed.", "task", run->name, "instance",
-            run->instance->entry.id, "percent", pace, "worst_load", share);
+            run->instance->entry.id, "percent", pace_text, "worst_load",
+            load_text);
 }
 
 /* An order on the pace may get lost; while a run is slowed it is repeated. */
@@ -126,6 +127,6 @@
     return;
   g_hash_table_iter_init (&iter, instance->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (best_effort (value) && ((struct run *)value)->state == RUN_RUNNING)
+    if (is_best_effort (value) && ((struct run *)value)->state == RUN_RUNNING)
       adjust_run_pace (planner, value, MAX (load, 0));
 }
--- a/src/cell/plan_place.c
+++ b/src/cell/plan_place.c
@@ -78,10 +78,11 @@
 static double
 expected_run_ms (const struct job *job, int index)
 {
-  double said = (double)job->desc->steps[index].estimate_ms;
+  double estimate_ms = (double)job->desc->steps[index].estimate_ms;
 
-  return job->queue->mean_run_ms > 0.0 ? (said + job->queue->mean_run_ms) / 2.0
-                                       : said;
+  return job->queue->mean_run_ms > 0.0
+             ? (estimate_ms + job->queue->mean_run_ms) / 2.0
+             : estimate_ms;
 }
 
 /* Time that a step and those behind it still take at the least. */
@@ -133,7 +134,7 @@
 /* What can still be on time comes first, by priority and the latest moment
    at which it has to start; what is late follows. */
 static int64_t
-rank (const struct rst_planner *planner, const struct step *step)
+compute_rank (const struct rst_planner *planner, const struct step *step)
 {
   const struct job *job = step->occurrence->job;
   const struct rst_queue *queue = &job->queue->settings;
@@ -184,7 +185,7 @@
                 / (double)MAX (instance->entry.capacity.cpu, 1);
   double total = left;
 
-  if (task != NULL && task->bad == instance)
+  if (task != NULL && task->avoided_instance == instance)
     total += 4.0;
   total += 0.5 * MIN (instance->failures, 4);
   if (step->spec->rack[0] != '\0'
@@ -217,14 +218,14 @@
   gpointer id;
 
   if (!step->occurrence->job->queue->settings.needs_approval)
-    return planner->usable;
+    return planner->schedulable_instances;
   g_ptr_array_set_size (planner->candidates, 0);
-  g_hash_table_iter_init (&iter, step->leaves);
+  g_hash_table_iter_init (&iter, step->approvals);
   while (g_hash_table_iter_next (&iter, &id, NULL))
     {
       struct instance *instance = g_hash_table_lookup (planner->instances, id);
 
-      if (instance != NULL && instance->usable
+      if (instance != NULL && instance->schedulable
           && rst_plan_find_ticket (planner, step, instance) != NULL)
         g_ptr_array_add (planner->candidates, instance);
     }
@@ -241,16 +242,16 @@
   for (guint i = 0; i < candidates->len; i++)
     {
       struct instance *instance = g_ptr_array_index (candidates, i);
-      double now;
+      double score;
 
       if (!rst_plan_task_fits (instance, step)
           || !rst_plan_instance_is_eligible (instance, step))
         continue;
-      now = fit_score (planner, instance, step, task);
-      if (best == NULL || now < best_score)
+      score = fit_score (planner, instance, step, task);
+      if (best == NULL || score < best_score)
         {
           best = instance;
-          best_score = now;
+          best_score = score;
         }
     }
   return best;
@@ -308,16 +309,15 @@
   *total = 0;
   for (guint i = 0; i < candidates->len; i++)
     {
-      struct instance_slots instance_slots
+      struct instance_slots candidate
           = { g_ptr_array_index (candidates, i), 0 };
 
-      instance_slots.slots
-          = rst_plan_count_slots (instance_slots.instance, step);
-      if (instance_slots.slots == 0
-          || !rst_plan_instance_is_eligible (instance_slots.instance, step))
+      candidate.slots = rst_plan_count_slots (candidate.instance, step);
+      if (candidate.slots == 0
+          || !rst_plan_instance_is_eligible (candidate.instance, step))
         continue;
-      *total += instance_slots.slots;
-      g_array_append_val (gang_slots, instance_slots);
+      *total += candidate.slots;
+      g_array_append_val (gang_slots, candidate);
     }
   return gang_slots;
 }
@@ -355,15 +355,14 @@
   step->gang_attempt = attempt + 1;
   for (guint i = 0; i < gang_slots->len && next < step->spec->count; i++)
     {
-      struct instance_slots instance_slots
+      struct instance_slots candidate
           = g_array_index (gang_slots, struct instance_slots, i);
 
-      for (int k = 0; k < instance_slots.slots && next < step->spec->count;
-           k++)
+      for (int k = 0; k < candidate.slots && next < step->spec->count; k++)
         rst_plan_start_task (
-            planner, &step->tasks[next++], instance_slots.instance,
+            planner, &step->tasks[next++], candidate.instance,
             step->gang_attempt,
-            rst_plan_find_ticket (planner, step, instance_slots.instance));
+            rst_plan_find_ticket (planner, step, candidate.instance));
     }
 }
 
@@ -383,16 +382,17 @@
   const struct queue *queue = step->occurrence->job->queue;
   int wanted = step->spec->count;
 
-  for (guint i = 0; wanted > 0 && i < planner->usable->len; i++)
+  for (guint i = 0; wanted > 0 && i < planner->schedulable_instances->len; i++)
     {
-      struct instance *instance = g_ptr_array_index (planner->usable, i);
-      struct leave *leave
-          = g_hash_table_lookup (step->leaves, instance->entry.id);
+      struct instance *instance
+          = g_ptr_array_index (planner->schedulable_instances, i);
+      struct approval *approval
+          = g_hash_table_lookup (step->approvals, instance->entry.id);
       int slots;
 
       if (!rst_plan_instance_is_eligible (instance, step)
           || (queue->settings.needs_approval
-              && (leave == NULL || leave->rejected)))
+              && (approval == NULL || approval->rejected)))
         continue;
       slots = MIN (rst_plan_count_slots (instance, step), wanted);
       wanted -= slots;
@@ -440,7 +440,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_ptr_array_set_size (planner->usable, 0);
+  g_ptr_array_set_size (planner->schedulable_instances, 0);
   g_array_set_size (planner->unmet_needs, 0);
   g_hash_table_iter_init (&iter, planner->instances);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -448,10 +448,11 @@
       struct instance *instance = value;
 
       instance->reserved = none;
-      instance->usable = rst_plan_instance_is_schedulable (planner, instance);
-      instance->pass_index = planner->usable->len;
-      if (instance->usable)
-        g_ptr_array_add (planner->usable, instance);
+      instance->schedulable
+          = rst_plan_instance_is_schedulable (planner, instance);
+      instance->pass_index = planner->schedulable_instances->len;
+      if (instance->schedulable)
+        g_ptr_array_add (planner->schedulable_instances, instance);
     }
 }
 
@@ -464,11 +465,11 @@
 
   for (guint i = 0; i < planner->unmet_needs->len; i++)
     {
-      const struct rst_resources *unmet_needs
+      const struct rst_resources *unmet
           = &g_array_index (planner->unmet_needs, struct rst_resources, i);
 
-      if (need->cpu >= unmet_needs->cpu && need->memory >= unmet_needs->memory
-          && need->gpu >= unmet_needs->gpu)
+      if (need->cpu >= unmet->cpu && need->memory >= unmet->memory
+          && need->gpu >= unmet->gpu)
         return true;
     }
   return false;
@@ -481,8 +482,9 @@
     return true;
   if (is_known_unplaceable (planner, step))
     return false;
-  for (guint i = 0; i < planner->usable->len; i++)
-    if (rst_plan_count_slots (g_ptr_array_index (planner->usable, i), step)
+  for (guint i = 0; i < planner->schedulable_instances->len; i++)
+    if (rst_plan_count_slots (
+            g_ptr_array_index (planner->schedulable_instances, i), step)
         > 0)
       return true;
   if (step->spec->max_per_instance == 0)
@@ -510,7 +512,7 @@
     left = place_tasks (planner, step);
   if (left == 0 || !job->queue->settings.needs_approval)
     return;
-  if (step->ask != NULL)
+  if (step->advice_request != NULL)
     rst_plan_reserve_requested (planner, step, left);
   else
     rst_plan_request_advice (planner, step, left);
@@ -525,7 +527,7 @@
     {
       struct step *step = g_ptr_array_index (planner->waiting_steps, i);
 
-      step->rank = rank (planner, step);
+      step->rank = compute_rank (planner, step);
       if (step->tasks_waiting > 0)
         continue;
       step->enqueued = false;
--- a/src/cell/plan_runs.c
+++ b/src/cell/plan_runs.c
@@ -233,7 +233,7 @@
   enum rst_result result;
   int64_t clock_ms;
   struct run *run = read_run_answer (planner, reader, &result, &clock_ms);
-  struct leave *leave;
+  struct approval *approval;
 
   if (run == NULL)
     return;
@@ -256,10 +256,10 @@
       rst_plan_stop_run (planner, run);
       return;
     }
-  leave
-      = g_hash_table_lookup (run->task->step->leaves, run->instance->entry.id);
-  if (result == RST_RESULT_NO_TICKET && leave != NULL)
-    leave->expires_at = 0;
+  approval = g_hash_table_lookup (run->task->step->approvals,
+                                  run->instance->entry.id);
+  if (result == RST_RESULT_NO_TICKET && approval != NULL)
+    approval->expires_at = 0;
   if (result == RST_RESULT_REJECTED || result == RST_RESULT_NO_ROOM
       || result == RST_RESULT_NOT_SENT)
     pause_instance (planner, run->instance);
@@ -349,7 +349,7 @@
   /* The first task keeps the count of its gang. */
   struct task *counter = step->spec->gang ? &step->tasks[0] : task;
 
-  task->bad = instance;
+  task->avoided_instance = instance;
   if (step->spec->long_running || !count_failure (counter, attempt))
     return;
   rst_plan_mark (planner, job);
@@ -450,7 +450,7 @@
           rst_info (RST_PLAN_LOG, "Run stands still and is stopped.", "task",
                     run->name, "instance", instance->entry.id);
           instance->paused_until = planner->now + FAILURE_PAUSE_MS;
-          run->task->bad = instance;
+          run->task->avoided_instance = instance;
           stop_gang (planner, step);
           rst_plan_stop_run (planner, run);
         }
--- a/src/cell/planner.c
+++ b/src/cell/planner.c
@@ -54,8 +54,8 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, customer_free);
   planner->instances = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                               rst_plan_instance_free);
-  planner->asks = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
-                                         rst_plan_advice_request_free);
+  planner->advice_requests = g_hash_table_new_full (
+      g_int64_hash, g_int64_equal, NULL, rst_plan_advice_request_free);
   planner->segments
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   planner->agents = g_ptr_array_new_with_free_func (g_free);
@@ -63,7 +63,7 @@
   planner->repeating_jobs = g_ptr_array_new ();
   planner->dirty = g_ptr_array_new ();
   planner->committing = g_ptr_array_new ();
-  planner->usable = g_ptr_array_new ();
+  planner->schedulable_instances = g_ptr_array_new ();
   planner->candidates = g_ptr_array_new ();
   planner->unmet_needs
       = g_array_new (FALSE, FALSE, sizeof (struct rst_resources));
@@ -83,7 +83,7 @@
 {
   if (planner == NULL)
     return;
-  g_hash_table_destroy (planner->asks);
+  g_hash_table_destroy (planner->advice_requests);
   g_hash_table_destroy (planner->instances);
   g_hash_table_destroy (planner->jobs);
   g_hash_table_destroy (planner->queues);
@@ -95,7 +95,7 @@
   g_ptr_array_free (planner->repeating_jobs, TRUE);
   g_ptr_array_free (planner->dirty, TRUE);
   g_ptr_array_free (planner->committing, TRUE);
-  g_ptr_array_free (planner->usable, TRUE);
+  g_ptr_array_free (planner->schedulable_instances, TRUE);
   g_ptr_array_free (planner->candidates, TRUE);
   g_array_free (planner->unmet_needs, TRUE);
   rst_cellconfig_destroy (planner->config);
@@ -167,15 +167,15 @@
 
 void
 rst_planner_set_zone_evacuated (struct rst_planner *planner, const char *zone,
-                                bool out)
+                                bool evacuated)
 {
-  if (out)
+  if (evacuated)
     g_hash_table_add (planner->evacuated_zones, g_strdup (zone));
   else
     g_hash_table_remove (planner->evacuated_zones, zone);
   rst_info (RST_PLAN_LOG,
-            out ? "Zone takes no starts." : "Zone takes starts again.", "zone",
-            zone);
+            evacuated ? "Zone takes no starts." : "Zone takes starts again.",
+            "zone", zone);
   planner->changed = true;
 }
 
@@ -264,23 +264,24 @@
 
   if (!rst_planner_is_ready (planner))
     return planner->now + CHECK_INTERVAL_MS;
-  if (planner->now >= planner->next_check)
+  if (planner->now >= planner->next_check_at)
     {
-      planner->next_check = planner->now + CHECK_INTERVAL_MS;
+      planner->next_check_at = planner->now + CHECK_INTERVAL_MS;
       rst_plan_check_instances (planner);
       rst_plan_begin_due_occurrences (planner);
       planner->changed = true;
     }
-  wake = planner->next_check;
-  if (planner->changed && planner->now >= planner->next_pass)
+  wake = planner->next_check_at;
+  if (planner->changed && planner->now >= planner->next_pass_at)
     {
       planner->changed = false;
-      planner->next_pass = planner->now + PASS_INTERVAL_MS
-                           + planner->waiting_steps->len / PASS_STEPS_PER_MS;
+      planner->next_pass_at
+          = planner->now + PASS_INTERVAL_MS
+            + planner->waiting_steps->len / PASS_STEPS_PER_MS;
       rst_plan_place_steps (planner);
     }
   else if (planner->changed)
-    wake = MIN (wake, planner->next_pass);
+    wake = MIN (wake, planner->next_pass_at);
   rst_plan_commit (planner);
   if (planner->dirty->len > 0 && !planner->commit_busy)
     wake = MIN (wake, planner->now + PASS_INTERVAL_MS);
--- a/src/cell/planner.h
+++ b/src/cell/planner.h
@@ -137,7 +137,7 @@
 /** rst_planner_set_zone_evacuated() - A zone takes no starts, or takes them
  * again. */
 void rst_planner_set_zone_evacuated (struct rst_planner *planner,
-                                     const char *zone, bool out);
+                                     const char *zone, bool evacuated);
 
 /** rst_planner_update_instance() - An instance registered or changed its
  * entry. */
--- a/src/cell/planner_private.h
+++ b/src/cell/planner_private.h
@@ -60,7 +60,7 @@
   /* Room that a blocked gang keeps during one pass. */
   struct rst_resources reserved;
   /* Whether it takes starts in the present pass. */
-  bool usable;
+  bool schedulable;
   /* Its place in the present pass's list of those. */
   guint pass_index;
   struct agent *agent;
@@ -81,7 +81,7 @@
   rst_ms runs_unknown_since;
   bool runs_known;
   bool inherited;
-  bool blocked;
+  bool has_unknown_run;
   /* When its present life was learned of. */
   rst_ms incarnation_seen_at;
   rst_ms lease_expires_at;
@@ -143,11 +143,11 @@
   int attempt;
   bool in_doubt;
   char checkpoint[RST_TOKEN_SIZE];
-  struct instance *bad;
+  struct instance *avoided_instance;
 };
 
 /* A step's leave to use an instance. */
-struct leave
+struct approval
 {
   bool rejected;
   char ticket[RST_TOKEN_SIZE];
@@ -166,14 +166,14 @@
   int gang_attempt;
   bool gang_stopping;
   char checkpoint[RST_TOKEN_SIZE];
-  GHashTable *leaves;
+  GHashTable *approvals;
   rst_ms next_request_at;
   bool enqueued;
   int64_t rank;
   /* Unix time until which a start is likely to be in time. */
   int64_t start_by_ms;
   int64_t objective_ms;
-  struct ask *ask;
+  struct advice_request *advice_request;
   bool advice_requested;
 };
 
@@ -191,7 +191,7 @@
   struct rst_queue settings;
   bool recorded;
   int pending;
-  double approval;
+  double approval_rate;
   /* Learned run time of a task; 0 until one has ended. */
   double mean_run_ms;
   struct rst_histogram first_start_ms;
@@ -241,14 +241,14 @@
   int64_t last_record_segment;
 };
 
-struct ask
+struct advice_request
 {
   uint64_t handle;
   char id[RST_JOB_ID_SIZE];
   int64_t occurrence;
   int step;
   uint64_t link;
-  int64_t cost_ms;
+  int64_t expected_ms;
   rst_ms sent_at;
   /* Whether room is kept on the instances named while it is under way. */
   bool reserves_room;
@@ -273,7 +273,7 @@
   GHashTable *queues;
   GHashTable *customers;
   GHashTable *instances;
-  GHashTable *asks;
+  GHashTable *advice_requests;
   GPtrArray *agents;
   /* Steps with waiting tasks. */
   GPtrArray *waiting_steps;
@@ -289,11 +289,11 @@
   bool has_inherited;
   bool changed;
   uint64_t next_handle;
-  rst_ms next_check;
-  rst_ms next_pass;
+  rst_ms next_check_at;
+  rst_ms next_pass_at;
   /* Instances that take starts, and needs that found no room; both of the
      present pass. */
-  GPtrArray *usable;
+  GPtrArray *schedulable_instances;
   GArray *unmet_needs;
   /* Instances that the step being placed has leave for. */
   GPtrArray *candidates;
--- a/test/unit/cell_harness.h
+++ b/test/unit/cell_harness.h
@@ -303,9 +303,9 @@
 
   // Reads the journal of another planner.
   void
-  restore (const Planner &former)
+  restore (const Planner &predecessor)
   {
-    for (const Commit &commit : former.commits)
+    for (const Commit &commit : predecessor.commits)
       if (!rst_planner_restore (planner, commit.segment, commit.data.data (),
                                 commit.data.size ()))
         unreadable++;
