--- a/src/cell/planner.h
+++ b/src/cell/planner.h
@@ -1,11 +1,12 @@
 /**
- * DOC: planner - decides which task starts where and when
+ * DOC: planner - decides which task starts on which instance, and when
  *
- * One process at a time runs a planner.  It knows all jobs and all
- * instances, and tells agents what to do.  It does no input or output of its
- * own: time is set with rst_planner_set_time(), events come in by the other
- * functions, and what is to be done goes out through struct rst_planner_ops.
- * All functions are called from one thread.
+ * One process at a time runs the planner.  It knows all jobs and all
+ * instances and sends orders to the agents.  It does no I/O of its own:
+ * rst_planner_set_time() sets its clock, the other functions deliver events,
+ * and its output goes through the callbacks of struct rst_planner_ops.
+ *
+ * All functions of one planner are called from the same thread.
  */
 #ifndef RST_PLANNER_H
 #define RST_PLANNER_H
@@ -17,11 +18,12 @@
 struct rst_planner;
 
 /**
- * struct rst_reply - An answer to a caller's call.
+ * struct rst_reply - The reply to a caller's request.
  * @outcome: What happened.
- * @state: State of a job, with RST_OUTCOME_STATE.
- * @count: Waiting jobs, with RST_OUTCOME_COUNT.
- * @retry_s: Seconds after which to come back; 0 for none.
+ * @state: State of the job; set with RST_OUTCOME_STATE.
+ * @count: Number of jobs of which no task has started; set with
+ *   RST_OUTCOME_COUNT.
+ * @retry_s: Seconds after which the caller should retry, or 0.
  */
 struct rst_reply
 {
@@ -32,12 +34,14 @@
 };
 
 /**
- * struct rst_planner_ops - What the planner wants done.
- * @send: Send a message over a link.
- * @reply: Answer a caller's call that came over a link.
- * @commit: Append a segment to the journal and remove old ones.  Answered
- *   with rst_planner_commit_done().
- * @userdata: Passed to each.
+ * struct rst_planner_ops - Callbacks for the planner's output.
+ * @send: Sends a message over a link.  The bytes are valid during the call.
+ * @reply: Replies to the caller's request that has the number @call on a
+ *   link.
+ * @commit: Appends a segment to the journal and deletes old ones, in one
+ *   transaction.  rst_planner_commit_done() reports its completion; until
+ *   then there is no further commit.
+ * @userdata: Passed to each callback.
  */
 struct rst_planner_ops
 {
@@ -51,12 +55,13 @@
 };
 
 /**
- * struct rst_planner_timing - Times that the planner keeps to.
- * @unconfirmed_renewal_ms: How long agents extend leases without a planner
- * that the store confirms.
+ * struct rst_planner_timing - Durations that the planner relies on.
+ * @unconfirmed_renewal_ms: How long agents go on extending leases after the
+ *   store last confirmed the planner.
  * @lease_ms: Length of a lease on an instance.
- * @status_ms: How long the state of an ended job stays readable.
- * @early_ms: How much before its time an occurrence may start.
+ * @status_ms: How long the state of an ended job can be read.
+ * @early_ms: How long before its due time an occurrence may start; the
+ *   planner does not use it.
  */
 struct rst_planner_timing
 {
@@ -67,19 +72,22 @@
 };
 
 /**
- * rst_planner_create() - A planner without jobs or instances.
- * @ops: What it can have done; copied.
- * @timing: Times; copied.
- * @epoch: Fencing token of this planner.
+ * rst_planner_create() - Creates a planner without jobs or instances.
+ * @ops: Callbacks; the struct is copied.
+ * @timing: Durations; the struct is copied.
+ * @epoch: The planner's epoch; its fencing tokens are derived from it.
+ *
+ * Return: The planner, to be freed with rst_planner_destroy().
  */
 struct rst_planner *
 rst_planner_create (const struct rst_planner_ops *ops,
                     const struct rst_planner_timing *timing, int64_t epoch);
 
 /**
- * enum rst_step_order - In which order waiting steps are served.
- * @RST_STEP_ORDER_RANKED: What can still be on time first, see plan_place.c.
- * @RST_STEP_ORDER_FIFO: The oldest first.
+ * enum rst_step_order - The order in which waiting steps are placed.
+ * @RST_STEP_ORDER_RANKED: By rank: steps that can still meet their objective
+ *   come first; see plan_place.c.
+ * @RST_STEP_ORDER_FIFO: By due time, the oldest first.
  */
 enum rst_step_order
 {
@@ -88,10 +96,10 @@
 };
 
 /**
- * enum rst_fit - On which of the instances with room a task starts.
- * @RST_FIT_BEST: The one that is left with the least room.
- * @RST_FIT_FIRST: The first one.
- * @RST_FIT_RANDOM: Any.
+ * enum rst_fit - Which of the instances with enough room a task starts on.
+ * @RST_FIT_BEST: Best fit: the instance that is left with the least room.
+ * @RST_FIT_FIRST: First fit.
+ * @RST_FIT_RANDOM: A pseudo-random one.
  */
 enum rst_fit
 {
@@ -101,76 +109,111 @@
 };
 
 /**
- * rst_planner_set_policy() - Takes another policy than the usual one.
+ * rst_planner_set_policy() - Sets the placement policy.
  *
- * For comparisons on a load; a new planner ranks and takes the tightest.
+ * Used to compare policies under the same load.  A new planner uses
+ * RST_STEP_ORDER_RANKED and RST_FIT_BEST.
  */
 void rst_planner_set_policy (struct rst_planner *planner,
                              enum rst_step_order order, enum rst_fit fit);
 
-/** rst_planner_destroy() - Frees a planner, or ignores NULL. */
+/** rst_planner_destroy() - Frees a planner; does nothing for NULL. */
 void rst_planner_destroy (struct rst_planner *planner);
 
 /**
- * rst_planner_set_time() - Sets the time that the next events happen at.
- * @now: Steady time.
- * @unix_ms: Time of day.
+ * rst_planner_set_time() - Sets the time at which the next events happen.
+ * @now: Monotonic time.
+ * @unix_ms: Unix time in milliseconds.
  */
 void rst_planner_set_time (struct rst_planner *planner, rst_ms now,
                            int64_t unix_ms);
 
 /**
- * rst_planner_restore() - Takes a segment of the journal, in order.
+ * rst_planner_restore() - Applies one segment of the journal.
  *
- * Return: false when a record can't be read; the others are taken.
+ * Segments are passed in the order of their numbers, before
+ * rst_planner_finish_restore().
+ *
+ * Return: false if a record could not be read; the other records of the
+ * segment are applied.
  */
 bool rst_planner_restore (struct rst_planner *planner, int64_t segment,
                           const void *data, size_t length);
 
-/** rst_planner_finish_restore() - All segments were taken; work may begin. */
+/**
+ * rst_planner_finish_restore() - Ends the restore and begins planning.
+ *
+ * All segments of the journal have been applied.
+ */
 void rst_planner_finish_restore (struct rst_planner *planner);
 
-/** rst_planner_configure() - Takes a configuration, owned from now on. */
+/**
+ * rst_planner_configure() - Replaces the operators' configuration.
+ * @config: The configuration; the planner takes ownership.
+ *
+ * A configuration with a lower version than the present one is ignored.
+ */
 void rst_planner_configure (struct rst_planner *planner,
                             struct rst_cellconfig *config);
 
-/** rst_planner_set_zone_evacuated() - A zone takes no starts, or takes them
- * again. */
+/**
+ * rst_planner_set_zone_evacuated() - Excludes a zone from starts, or admits
+ * it again.
+ *
+ * Tasks that run in the zone go on.
+ */
 void rst_planner_set_zone_evacuated (struct rst_planner *planner,
                                      const char *zone, bool evacuated);
 
-/** rst_planner_update_instance() - An instance registered or changed its
- * entry. */
+/**
+ * rst_planner_update_instance() - Adds an instance or changes its entry.
+ * @entry: The instance's present entry; copied.
+ */
 void rst_planner_update_instance (struct rst_planner *planner,
                                   const struct rst_instance_entry *entry);
 
-/** rst_planner_remove_instance() - An instance's entry was removed. */
+/**
+ * rst_planner_remove_instance() - Notes that an instance's entry was removed.
+ *
+ * Nothing more is started on the instance.  Its runs are kept until it
+ * reports their ends or its lease has expired.
+ */
 void rst_planner_remove_instance (struct rst_planner *planner, const char *id);
 
-/** rst_planner_add_agent() - An agent is at the other end of a link. */
+/**
+ * rst_planner_add_agent() - Adds an agent and assigns instances to it.
+ * @link: The link to the agent.
+ * @name: The agent's name.
+ * @zone: The agent's availability zone.
+ */
 void rst_planner_add_agent (struct rst_planner *planner, uint64_t link,
                             const char *name, const char *zone);
 
-/** rst_planner_link_closed() - A link is gone. */
+/**
+ * rst_planner_link_closed() - Handles the closing of a link.
+ *
+ * The instances of an agent on that link are assigned to other agents.
+ */
 void rst_planner_link_closed (struct rst_planner *planner, uint64_t link);
 
 /**
- * rst_planner_receive_message() - A message of an agent.
- * @kind: Its kind.
- * @reader: At the member behind the kind.
+ * rst_planner_receive_message() - Handles a message of an agent.
+ * @link: The link to the agent.
+ * @kind: Kind of the message.
+ * @reader: Reader at the member after the kind.
  */
 void rst_planner_receive_message (struct rst_planner *planner, uint64_t link,
                                   int kind, struct rst_reader *reader);
 
 /**
- * struct rst_planner_call - A caller's call.
- * @link: Link that it came over.
+ * struct rst_planner_call - A caller's request.
+ * @link: The link that it came over.
  * @number: Its number on that link.
- * @operation: What the caller wants.
+ * @operation: What the caller asks for.
  * @host: Host header.
- * @path: Path.
- * @key: Key, or "".
- * @desc: The job, with RST_OPERATION_SUBMIT; owned by the planner.
+ * @path: Path of the request.
+ * @key: API key, or "".
+ * @desc: The job's description; set with RST_OPERATION_SUBMIT.
  */
 struct rst_planner_call
 {
@@ -183,27 +226,35 @@
   struct rst_jobdesc *desc;
 };
 
-/** rst_planner_call() - Takes a caller's call; answered by reply. */
+/**
+ * rst_planner_receive_call() - Handles a caller's request.
+ * @call: The request.  The planner takes ownership of its description.
+ *
+ * The reply goes through &rst_planner_ops.reply, after the next commit where
+ * the request changes the state of a job.
+ */
 void rst_planner_receive_call (struct rst_planner *planner,
                                const struct rst_planner_call *call);
 
-/** rst_planner_commit_done() - The last commit is in the store. */
+/** rst_planner_commit_done() - Notes that the last commit is in the store. */
 void rst_planner_commit_done (struct rst_planner *planner);
 
 /**
- * rst_planner_set_confirmed() - The store confirmed that this is the planner.
- * @at: When the confirmed call was sent.
+ * rst_planner_set_confirmed() - Notes that the store has confirmed this
+ * process as the planner.
+ * @at: Time at which the confirmed request was sent.
  */
 void rst_planner_set_confirmed (struct rst_planner *planner, rst_ms at);
 
 /**
- * rst_planner_run() - Places what can start, commits what changed.
+ * rst_planner_run() - Checks timeouts, places tasks and commits changes, as
+ * far as they are due.
  *
- * Return: Time at which it wants to be called again at the latest.
+ * Return: The time at which it has to be called again at the latest.
  */
 rst_ms rst_planner_run (struct rst_planner *planner);
 
-/** rst_planner_read_stats() - Copies the planner's counters. */
+/** rst_planner_read_stats() - Copies the planner's counters to @out. */
 void rst_planner_read_stats (const struct rst_planner *planner,
                              struct rst_planner_stats *out);
 
@@ -213,7 +264,10 @@
                                                const struct rst_queue_stats *),
                                 void *userdata);
 
-/** rst_planner_is_ready() - Whether callers can be served. */
+/**
+ * rst_planner_is_ready() - Whether callers can be served: the journal is
+ * restored and a configuration is set.
+ */
 bool rst_planner_is_ready (const struct rst_planner *planner);
 
 #endif
--- a/src/cell/planstats.h
+++ b/src/cell/planstats.h
@@ -1,5 +1,5 @@
 /**
- * DOC: planstats - what a planner has counted since its term began
+ * DOC: planstats - counters of a planner since its term began
  */
 #ifndef RST_PLANSTATS_H
 #define RST_PLANSTATS_H
@@ -12,25 +12,25 @@
 #define RST_END_KINDS 6
 
 /**
- * struct rst_planner_stats - Counters and present sizes of a planner.
- * @jobs: Jobs known, ended ones among them until they are forgotten.
- * @accepted: Jobs handed in.
+ * struct rst_planner_stats - Counters and current sizes of a planner.
+ * @jobs: Jobs in memory, including ended ones that are not yet forgotten.
+ * @accepted: Jobs submitted.
  * @completed: Jobs that completed.
  * @failed: Jobs that failed.
  * @cancelled: Jobs that callers cancelled.
- * @instances: Instances registered.
- * @instances_known: Those whose runs are known.
- * @agents: Agents linked.
- * @waiting_steps: Steps with tasks that wait for a place.
- * @starts: Starts ordered.
- * @starts_failed: Starts that did not succeed.
- * @ends: Runs ended, by enum rst_end.
- * @advice_calls: Calls for advice.
- * @advice_failed: Those without a usable answer.
- * @pace_orders: Orders on the pace of tasks.
+ * @instances: Registered instances.
+ * @instances_known: Instances whose runs are known.
+ * @agents: Connected agents.
+ * @waiting_steps: Steps with tasks that wait to be placed.
+ * @starts: Start orders sent.
+ * @starts_failed: Start orders that failed.
+ * @ends: Runs that ended, by enum rst_end.
+ * @advice_calls: Advice requests sent.
+ * @advice_failed: Advice requests that failed.
+ * @pace_orders: Orders sent that set the pace of a run.
  * @commits: Segments appended to the journal.
- * @commit_ms: Time from a commit to the store's word.
- * @advice_ms: Time from a call for advice to its answer.
+ * @commit_ms: Time from a commit to its confirmation by the store.
+ * @advice_ms: Time from an advice request to its answer.
  */
 struct rst_planner_stats
 {
@@ -55,11 +55,12 @@
 };
 
 /**
- * struct rst_queue_stats - What a planner has counted for one queue.
+ * struct rst_queue_stats - Counters of one queue.
  * @name: The queue's name.
  * @pending: Jobs of which no task has started.
- * @first_start_ms: Time from handing a job in to the first order for it.
- * @job_ms: Time from handing a job in to its completion.
+ * @first_start_ms: Time from the submission of a job to its first start
+ *   order.
+ * @job_ms: Time from the submission of a job to its completion.
  */
 struct rst_queue_stats
 {
