--- a/src/cell/plan_advice.c
+++ b/src/cell/plan_advice.c
@@ -1,44 +1,52 @@
+/* Requests to the advice service: which instances may a step run on?
+
+   An agent makes the request.  Its duration grows with the number of instances
+   that it names, so each request names the instances that are most likely to
+   be useful.  An approval carries a ticket that a start needs. */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** Calls longer than this are kept off some agents, in milliseconds. */
+/** Requests expected to take longer than this leave some agents free for
+    shorter ones. */
 #define LONG_REQUEST_MS 60
 
-/** A short call may queue behind this many others at its agent. */
+/** Number of requests at one agent that a short request may wait for. */
 #define QUEUED_REQUESTS_MAX 2
 
-/** Least and largest number of instances named in one call. */
+/** Minimum and maximum number of instances named in a request. */
 #define REQUEST_INSTANCES_MIN 3
 #define REQUEST_INSTANCES_MAX 48
 
-/** Least and largest number of instances named in the first call of a gang.
-    The users' objective counts a call on 30 for each step; a second call costs
-    a gang more than the longer first one. */
+/** The same for the first request of a gang.  The users' objective allows for
+    one request that names 30 instances for each step, and a second request
+    costs a gang more time than a longer first one. */
 #define FIRST_GANG_REQUEST_INSTANCES_MIN 30
 #define FIRST_GANG_REQUEST_INSTANCES_MAX 36
 
-/** Calls up to this long keep room on the instances that they name. */
+/** Requests expected to take up to this long reserve room on the instances
+    that they name. */
 #define RESERVING_REQUEST_MAX_MS 200
 
-/** Share of the agents that may make long calls at once, in hundredths. */
+/** Percentage of the agents that may make long requests at once. */
 #define LONG_REQUEST_AGENTS_PERCENT 70
 
-/** Places asked for, as a multiple of those needed. */
+/** Number of expected approvals aimed at, as a multiple of the tasks that wait
+    to be placed. */
 #define REQUESTED_SLOTS_FACTOR 1.3
 
-/** Weight of a new answer in the learned share of approvals. */
+/** Weight of a new answer in a queue's approval rate. */
 #define APPROVAL_RATE_WEIGHT 0.1
 
-/** Time left that a ticket must have to be used, in milliseconds. */
+/** How long before its end a ticket is no longer used. */
 #define TICKET_MARGIN_MS 60
 
-/** Pause before a step asks again after an answer brought it nothing. */
+/** Pause between the answer to a step's request and its next request. */
 #define REQUEST_PAUSE_MS 20
 
-/** Pause after a call that failed, in milliseconds. */
+/** The same after a failed request. */
 #define FAILED_REQUEST_PAUSE_MS 100
 
 void
@@ -66,11 +74,15 @@
   return approval->ticket;
 }
 
+/** struct candidate - An instance that a request may name. */
 struct candidate
 {
   struct instance *instance;
+  /* Number of the step's tasks that fit it. */
   int slots;
+  /* Probability that it is approved. */
   double chance;
+  /* The lowest score is named first. */
   double score;
 };
 
@@ -83,9 +95,10 @@
   return left < right ? -1 : left > right;
 }
 
-/* Instances that the step might use and has no valid ticket for: those with
-   room now, and for the first call of a gang all, since what may run where
-   doesn't change and its room may come later. */
+/* Finds the instances that a request may name, best first.  They are eligible,
+   not rejected before, and have room.  The first request of a gang may name
+   instances without room too: approvals do not change, and the room may become
+   free later. */
 static GArray *
 find_request_candidates (struct rst_planner *planner, const struct step *step)
 {
@@ -109,7 +122,8 @@
         continue;
       if (approval != NULL)
         candidate.chance = 1.0;
-      /* A gang needs many places; single tasks take the tightest fit. */
+      /* For a gang, the expected number of slots counts.  For single tasks, an
+         instance approved before comes first, then the best fit. */
       candidate.score
           = gang ? -candidate.slots * candidate.chance
                  : (double)(instance->entry.capacity.cpu - instance->used.cpu)
@@ -121,8 +135,9 @@
   return found;
 }
 
-/* Whether all candidates together are likely to hold a gang.  One call may
-   name too few for that: what it approves stays valid for the next. */
+/* Whether all candidates together probably have room for a gang.  One request
+   may name too few for that; its approvals are kept, and further requests name
+   others. */
 static bool
 may_hold_gang (const GArray *found, int tasks)
 {
@@ -137,7 +152,8 @@
   return expected >= tasks;
 }
 
-/* How many of the first candidates to name, or 0 when there is no point. */
+/* Returns how many of the first candidates to name, or 0 if a request would be
+   useless. */
 static int
 count_instances_to_name (const GArray *found, const struct step *step,
                          int tasks)
@@ -166,7 +182,8 @@
   return named;
 }
 
-/* The agent that will answer first.  Long calls leave some agents free. */
+/* Returns the agent that is expected to be free first, or NULL if all are too
+   busy for this request. */
 static struct agent *
 choose_advice_agent (struct rst_planner *planner, int64_t expected_ms)
 {
@@ -203,7 +220,8 @@
               request->step);
 }
 
-/* One line a call: which step, over how many instances, with what outcome. */
+/* Logs a request or its answer.  Before the answer, @took_ms is the expected
+   time. */
 static void
 log_request (const struct advice_request *request, const char *sentence,
              int64_t took_ms, int approved)
@@ -254,7 +272,8 @@
   if (planner->now < step->next_request_at
       || !rst_plan_is_below_limit (step, step->spec->gang ? tasks : 1))
     return;
-  /* While all agents are busy there is no point in looking further. */
+  /* Searching for candidates is costly, so first checks that an agent is free
+     for the shortest request. */
   if (choose_advice_agent (planner, job->queue->settings.advice_ms) == NULL)
     return;
   found = find_request_candidates (planner, step);
@@ -289,12 +308,11 @@
   step->advice_requested = true;
   g_hash_table_insert (planner->advice_requests, &request->handle, request);
   planner->stats.advice_calls++;
-  log_request (request, "Advice is asked for.", expected_ms, 0);
+  log_request (request, "Advice requested.", expected_ms, 0);
   send_request (planner, request);
   g_array_free (found, TRUE);
 }
 
-/* Keeps room for the tasks that a call under way asks about. */
 void
 rst_plan_reserve_requested (struct rst_planner *planner, struct step *step,
                             int tasks)
@@ -409,7 +427,8 @@
         }
       approval->rejected = ticket == NULL;
       approval->born = instance->born;
-      /* Validity counts from the answer, which came a moment ago. */
+      /* Tickets are valid from the service's answer on, a moment before now.
+         The margin allows for that. */
       approval->expires_at
           = planner->now + queue->settings.advice_valid_ms - TICKET_MARGIN_MS;
       if (ticket != NULL)
@@ -436,12 +455,12 @@
   if (result != RST_RESULT_OK)
     {
       planner->stats.advice_failed++;
-      rst_info (RST_PLAN_LOG, "Call for advice failed.", "job", request->id,
+      rst_info (RST_PLAN_LOG, "Advice request failed.", "job", request->id,
                 "result", rst_result_name (result));
       end_request (planner, request, FAILED_REQUEST_PAUSE_MS);
       return;
     }
-  log_request (request, "Advice came.", planner->now - request->sent_at,
+  log_request (request, "Advice received.", planner->now - request->sent_at,
                (int)rows.count);
   step = find_step (planner, request);
   if (step != NULL)
--- a/src/cell/plan_instances.c
+++ b/src/cell/plan_instances.c
@@ -1,28 +1,34 @@
+/* Instances, agents and the agents' reports on instances. */
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** How long a removed entry is remembered before its instance is dropped. */
+/** How long an instance is kept after its entry was removed. */
 #define UNREGISTERED_RETENTION_MS 30000
 
-/** Added to a lapse for clocks that run 2 % slow and for travel. */
+/** Added to the time left of a lease, for the time that messages take; clocks
+    that run up to 2 % slow are allowed for by a factor of 102 %. */
 #define LEASE_MARGIN_MS 300
 
-/** Wait for the answer of a start whose agent is gone, in milliseconds. */
+/** How long the answer to a start order may take after its agent has
+    disconnected. */
 #define ORPHANED_START_TIMEOUT_MS 200
 
-/** Age of the store's word from which on instances born since get no work;
-    above the time between two renewals. */
+/** If the store's last confirmation is older than this, nothing is started on
+    instances whose incarnation was first seen after it.  This is above the
+    time between two confirmations. */
 #define NEW_INCARNATION_CONFIRM_AGE_MAX_MS 400
 
-/** Age of the store's word from which on nothing is started; well below the
-    time for which leases are extended without it. */
+/** If the store's last confirmation is older than this, nothing is started at
+    all.  This is well below the time for which agents extend leases without a
+    confirmation. */
 #define START_CONFIRM_AGE_MAX_MS 4000
 
-/** Tokens that one planner has for the lives of one instance. */
+/** Number of fencing tokens that a planner has for each instance, one for each
+    incarnation. */
 #define FENCING_TOKENS_PER_EPOCH 1000
 
-/** Time between attempts to hold an instance that has no agent's report. */
+/** Time between hold messages for an instance whose agent does not report. */
 #define HOLD_RETRY_MS 700
 
 void
@@ -34,7 +40,8 @@
   g_free (instance);
 }
 
-/* When the leases have run out that an agent out of reach may extend. */
+/* Returns the latest time at which a lease expires if an unreachable agent
+   goes on extending it for as long as it may. */
 static rst_ms
 latest_lease_expiry (const struct rst_planner *planner)
 {
@@ -90,8 +97,8 @@
   return best;
 }
 
-/* Raised with the planner and with each life of the instance: an order to an
-   earlier life that is carried out late is turned away. */
+/* The token rises with each planner and with each incarnation of the instance,
+   so that a late order to an earlier incarnation is rejected. */
 static int64_t
 get_fencing_token (const struct rst_planner *planner,
                    const struct instance *instance)
@@ -132,7 +139,8 @@
   rst_plan_send (planner, instance->agent->link, &pack);
 }
 
-/* Nobody reports on the instance; its lease may be extended for a while. */
+/* Marks the runs as unknown while no agent reports on the instance.  The
+   previous agent may still extend the lease for a while. */
 static void
 mark_runs_unknown (struct rst_planner *planner, struct instance *instance)
 {
@@ -163,14 +171,13 @@
   send_hold (planner, instance);
 }
 
-/* Every instance gets an agent, one of its zone where there is one. */
 void
 rst_plan_assign_instances (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
 
-  /* What instances list can only be judged when all jobs are known. */
+  /* Reports can only be applied when all jobs have been restored. */
   if (!planner->restored)
     return;
   g_hash_table_iter_init (&iter, planner->instances);
@@ -183,7 +190,8 @@
     }
 }
 
-/* An agent that has come may take instances of its zone from others. */
+/* Assigns instances of a new agent's zone to it, if their agents are in other
+   zones or have more instances. */
 static void
 rebalance_to_agent (struct rst_planner *planner, struct agent *agent)
 {
@@ -217,13 +225,14 @@
   g_strlcpy (agent->name, name, sizeof agent->name);
   g_strlcpy (agent->zone, zone, sizeof agent->zone);
   g_ptr_array_add (planner->agents, agent);
-  rst_info (RST_PLAN_LOG, "Agent joined.", "agent", name, "zone", zone);
+  rst_info (RST_PLAN_LOG, "Agent connected.", "agent", name, "zone", zone);
   rst_plan_assign_instances (planner);
   rebalance_to_agent (planner, agent);
   planner->changed = true;
 }
 
-/* Starts that the lost agent carried may never be answered. */
+/* Start orders sent through an agent that has disconnected may never be
+   answered. */
 static void
 shorten_start_timeouts (struct rst_planner *planner, struct instance *instance)
 {
@@ -246,7 +255,8 @@
 
   if (agent == NULL)
     return;
-  rst_info (RST_PLAN_LOG, "Agent left.", "agent", agent->name);
+  rst_info (RST_PLAN_LOG, "Agent disconnected; its instances are reassigned.",
+            "agent", agent->name);
   g_hash_table_iter_init (&iter, planner->instances);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -264,7 +274,8 @@
   planner->changed = true;
 }
 
-/* All that ran there has ended with the instance's earlier life. */
+/* Marks all runs of an instance as lost, since its earlier incarnation ended
+   or its lease expired. */
 static void
 mark_runs_lost (struct rst_planner *planner, struct instance *instance,
                 const char *why)
@@ -288,7 +299,8 @@
     instance = rst_plan_instance_new (planner, entry->id);
   address_changed = strcmp (instance->entry.address, entry->address) != 0;
   if (instance->entry.draining != entry->draining && entry->draining)
-    rst_info (RST_PLAN_LOG, "Instance drains.", "instance", entry->id);
+    rst_info (RST_PLAN_LOG, "Instance is draining; it takes no more starts.",
+              "instance", entry->id);
   instance->entry = *entry;
   instance->registered = true;
   instance->unregistered_at = 0;
@@ -310,14 +322,15 @@
   instance->registered = false;
   instance->unregistered_at = planner->now;
   planner->changed = true;
-  rst_info (RST_PLAN_LOG, "Instance is not registered any more.", "instance",
+  rst_info (RST_PLAN_LOG,
+            "Instance was unregistered; it takes no more starts.", "instance",
             id);
 }
 
-/* A planner that the store has not confirmed for a while may have a
-   successor.  The successor's token guards all instances that it has held,
-   but not those that were born since; and it waits for those that it can't
-   reach no longer than until their leases have run out. */
+/* A planner that the store has not confirmed for a while may have a successor.
+   The successor's fencing token protects the instances that it has held, but
+   not incarnations that began since.  For an instance that it can't reach, the
+   successor waits only until the lease has expired. */
 static bool
 may_be_replaced (const struct rst_planner *planner,
                  const struct instance *instance)
@@ -364,8 +377,8 @@
 {
   struct rst_pack pack;
 
-  rst_info (RST_PLAN_LOG, "Unknown run is stopped.", "task", listed->task,
-            "instance", instance->entry.id);
+  rst_info (RST_PLAN_LOG, "Instance lists an unknown run; the run is stopped.",
+            "task", listed->task, "instance", instance->entry.id);
   rst_pack_init (&pack, 4);
   rst_pack_int (&pack, RST_MSG_STOP);
   rst_pack_text (&pack, instance->entry.id);
@@ -374,8 +387,10 @@
   rst_plan_send (planner, instance->agent->link, &pack);
 }
 
-/* A run that this planner did not order: its predecessor's, or one that was
-   given up and was carried out late. */
+/* Adopts a run that the planner has no record of: a run that its predecessor
+   started, or a start order that was given up and carried out late.  The run
+   is stopped if its task is unknown, done or running elsewhere, or if its job
+   is not committed yet. */
 static void
 adopt_run (struct rst_planner *planner, struct instance *instance,
            const struct rst_run *listed)
@@ -384,7 +399,8 @@
   struct job *job = task != NULL ? task->step->occurrence->job : NULL;
   struct run *run;
 
-  /* A later attempt was ordered only when the one assumed had ended. */
+  /* The predecessor sent the later start order only after the attempt in the
+     journal had ended. */
   if (task != NULL && task->run != NULL && task->run->from_journal
       && task->run->attempt < listed->attempt)
     rst_plan_run_remove (planner, task->run);
@@ -429,8 +445,9 @@
     }
 }
 
-/* Drops the runs that the instance neither runs nor lists as ended, where
-   its word is younger than its last answer about them. */
+/* Marks as lost the runs that the instance does not list, neither as running
+   nor as ended.  Runs whose last order is unanswered, or was answered after
+   the report was made, are kept. */
 static void
 drop_unlisted_runs (struct rst_planner *planner, struct instance *instance,
                     GHashTable *listed, int64_t clock_ms)
@@ -483,16 +500,18 @@
   g_hash_table_destroy (listed);
 }
 
-/* What ran in the earlier life may start elsewhere only once the new life
-   turns late orders away, and has said since what it runs. */
+/* Raises the fencing token for a new incarnation and holds the instance with
+   it.  Runs of the earlier incarnation may start elsewhere only after the new
+   one has reported under the new token, since it then rejects late orders.
+   Returns false if the token was raised before or this is the first one. */
 static bool
 raise_fencing_token (struct rst_planner *planner, struct instance *instance,
                      int64_t born)
 {
   if (instance->born == 0 || instance->fenced_incarnation == born)
     return false;
-  rst_info (RST_PLAN_LOG, "Instance was born anew.", "instance",
-            instance->entry.id);
+  rst_info (RST_PLAN_LOG, "Instance restarted; its fencing token is raised.",
+            "instance", instance->entry.id);
   instance->fenced_incarnation = born;
   instance->incarnation_count++;
   instance->last_acked_end = 0;
@@ -545,8 +564,9 @@
     {
       if (instance->runs_known)
         {
-          rst_info (RST_PLAN_LOG, "Instance does not answer.", "instance", id,
-                    "result", rst_result_name (result));
+          rst_info (RST_PLAN_LOG,
+                    "Instance does not answer; its lease may expire.",
+                    "instance", id, "result", rst_result_name (result));
           instance->runs_known = false;
           instance->lease_expires_at
               = planner->now + lease_left * 102 / 100 + LEASE_MARGIN_MS;
@@ -577,7 +597,8 @@
         |= ((struct instance *)value)->inherited
            && !RST_CELL_FAULT (RST_CELL_FAULT_NO_TAKEOVER_WAIT);
   if (!planner->has_inherited)
-    rst_info (RST_PLAN_LOG, "All instances of the predecessor are known.");
+    rst_info (RST_PLAN_LOG,
+              "All instances of the predecessor are accounted for.");
 }
 
 static void
@@ -642,7 +663,6 @@
   rst_plan_send (planner, instance->agent->link, &pack);
 }
 
-/* Ends that are in the store may be forgotten by the instances. */
 void
 rst_plan_send_acks (struct rst_planner *planner)
 {
--- a/src/cell/plan_jobs.c
+++ b/src/cell/plan_jobs.c
@@ -1,12 +1,13 @@
+/* Callers' requests, jobs, their occurrences and their steps. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** Seconds after which a caller that was turned away should come back. */
+/** Seconds after which a caller whose request was rejected should retry. */
 #define RETRY_AFTER_S 1
 
-/** Jobs a second that a customer may hand in beyond its share, as a burst. */
+/** Size of a customer's token bucket, in seconds of its share. */
 #define SHARE_BURST_S 2.0
 
 struct queue *
@@ -162,7 +163,7 @@
 rst_plan_enqueue_step (struct rst_planner *planner, struct step *step)
 {
   planner->changed = true;
-  /* A later record may say that the job is over. */
+  /* During the restore, a later record may say that the job has ended. */
   if (!planner->restored || step->enqueued || !step_is_ready (step))
     return;
   step->enqueued = true;
@@ -178,7 +179,6 @@
     rst_plan_enqueue_step (planner, &occurrence->steps[i]);
 }
 
-/* Begins the occurrences whose time has come. */
 void
 rst_plan_begin_due_occurrences (struct rst_planner *planner)
 {
@@ -199,6 +199,7 @@
     }
 }
 
+/* Takes a job's steps off the waiting steps and stops its runs. */
 static void
 stop_steps (struct rst_planner *planner, struct job *job)
 {
@@ -273,7 +274,7 @@
     rst_plan_end_job (planner, job, RST_JOB_COMPLETED);
 }
 
-/* A task's name is JOB.OCCURRENCE.STEP.INDEX. */
+/* The name of a task is JOB.OCCURRENCE.STEP.INDEX. */
 struct task *
 rst_plan_find_task (struct rst_planner *planner, const char *name)
 {
@@ -323,7 +324,6 @@
   g_array_append_val (job->pending_replies, pending_reply);
 }
 
-/* Answers those who waited for what is now in the store. */
 void
 rst_plan_reply_committed (struct rst_planner *planner, struct job *job)
 {
@@ -345,7 +345,8 @@
     }
 }
 
-/* A customer's jobs beyond its weight a second are served after the rest. */
+/* A token bucket: a customer's share is as many jobs a second as its weight.
+   Jobs over the share are accepted but placed after others. */
 static bool
 is_over_share (struct rst_planner *planner, struct customer *customer)
 {
@@ -400,7 +401,7 @@
   if (job->desc->repeats == 0)
     rst_plan_enqueue_steps (planner, rst_plan_occurrence_new (job, 0));
   planner->stats.accepted++;
-  rst_info (RST_PLAN_LOG, "Job handed in.", "job", id, "queue", route->name,
+  rst_info (RST_PLAN_LOG, "Job submitted.", "job", id, "queue", route->name,
             "customer", customer->settings.name);
 }
 
@@ -447,7 +448,9 @@
     reply_after_commit (job, call);
 }
 
-/* Jobs of an open queue belong to a customer without a name. */
+/* Finds the customer that a key belongs to.  Requests without a known key to a
+   public queue belong to a customer without a name; elsewhere NULL is
+   returned. */
 static struct customer *
 find_customer (struct rst_planner *planner, const struct rst_queue *route,
                const char *key)
--- a/src/cell/plan_limit.c
+++ b/src/cell/plan_limit.c
@@ -1,7 +1,9 @@
-/* Upper limits of customers: what they may have running on all instances. */
+/* Upper limits of customers: resources that the runs of a customer may take on
+   all instances together. */
 #include "cell/planner_private.h"
 
-/* Whether @used and @tasks of @need more stay within a limit; 0 is none. */
+/* Whether a use of @used and @tasks times @need stays within a limit; a limit
+   of 0 means none. */
 static bool
 is_within (int64_t limit, int64_t used, int64_t need, int tasks)
 {
@@ -39,8 +41,8 @@
     }
 }
 
-/* After a change of planner, tasks of older jobs may run on instances that
-   have not said yet what they run; all of them count as running. */
+/* After a takeover, tasks of earlier jobs may run on instances that have not
+   reported yet.  Until all have, these tasks count as running. */
 void
 rst_plan_count_in_doubt (struct rst_planner *planner)
 {
--- a/src/cell/plan_pace.c
+++ b/src/cell/plan_pace.c
@@ -1,13 +1,16 @@
-/* Slows tasks that fill while they disturb tasks that serve. */
+/* Slows best-effort runs on instances where tasks with a response bound answer
+   too slowly. */
 #include <inttypes.h>
 
 #include "cell/pace.h"
 #include "cell/planner_private.h"
 
-/** Wait of a look at an instance where tasks fill beside tasks that serve. */
+/** Wait of a long poll of an instance that runs best-effort tasks beside tasks
+    with a response bound, so that response times are reported in time. */
 #define SHARED_POLL_WAIT_MS 500
 
-/** Wait of a look at any other instance, the longest that they allow. */
+/** Wait of a long poll of any other instance: the maximum that instances
+    accept. */
 #define POLL_WAIT_MS 2000
 
 static bool
@@ -22,8 +25,8 @@
   return run->task->step->spec->best_effort;
 }
 
-/* The worst response time of the serving tasks in hundredths of its bound;
-   -1 where none serves. */
+/* Returns the worst response time of the instance's runs as a percentage of
+   its bound, or -1 if no run has a bound. */
 static int64_t
 worst_load (const struct instance *instance, bool *has_best_effort)
 {
@@ -85,12 +88,13 @@
     return;
   g_snprintf (pace_text, sizeof pace_text, "%d", run->pace);
   g_snprintf (load_text, sizeof load_text, "%" PRId64, load);
-  rst_info (RST_PLAN_LOG, "Pace is changed.", "task", run->name, "instance",
-            run->instance->entry.id, "percent", pace_text, "worst_load",
-            load_text);
+  rst_info (RST_PLAN_LOG, "Pace of a best-effort run changed.", "task",
+            run->name, "instance", run->instance->entry.id, "percent",
+            pace_text, "worst_load", load_text);
 }
 
-/* An order on the pace may get lost; while a run is slowed it is repeated. */
+/* Adjusts the pace of a best-effort run.  Since a pace order may get lost, it
+   is repeated while the run is slowed. */
 static void
 adjust_run_pace (struct rst_planner *planner, struct run *run, int64_t load)
 {
@@ -100,7 +104,7 @@
       || (next == run->pace && next == RST_PACE_FULL_PERCENT))
     return;
   run->pace_sent_at = planner->now;
-  /* A slowed run that makes no progress is not stuck. */
+  /* A slowed run is not stopped as stalled. */
   run->progressed_at = planner->now;
   if (next != run->pace)
     {
--- a/src/cell/plan_place.c
+++ b/src/cell/plan_place.c
@@ -1,16 +1,23 @@
+/* Placement of waiting tasks on instances.
+
+   Each pass sorts the waiting steps by rank and places their tasks in that
+   order, each on the instance with the best score.  A gang is placed as a
+   whole or not at all; gangs of high rank reserve the room that is free. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** Gangs that may keep room free for themselves at once. */
+/** Number of gangs that may reserve room in one pass. */
 #define RESERVING_GANGS_MAX 3
 
-/** A job is given up as late after this multiple of its objective. */
+/** After this multiple of its objective a job is ranked last. */
 #define MISSED_OBJECTIVE_FACTOR 3
 
-/* Rank bands: what may still earn its full worth, what is late, what is
-   beyond the customer's share, what can't earn any more. */
+/* Ranks lie in bands, placed in this order: steps that can still meet their
+   objective, late steps, steps of jobs over their customer's share, and steps
+   that have missed their objective by so much that their jobs have no value
+   any more.  The first two bands are split by the queue's priority. */
 #define RANK_BAND_LATE ((int64_t)1 << 50)
 #define RANK_BAND_OVER_SHARE ((int64_t)1 << 51)
 #define RANK_BAND_MISSED ((int64_t)1 << 52)
@@ -38,7 +45,6 @@
   return (int)MAX (slots, 0);
 }
 
-/* Tasks of the step that an instance runs already. */
 static int
 count_tasks_on (const struct instance *instance, const struct step *step)
 {
@@ -59,8 +65,6 @@
          || count_tasks_on (instance, step) < step->spec->max_per_instance;
 }
 
-/* Whether a step's tasks may run there at all, room aside.  The instance is
-   one that takes starts. */
 bool
 rst_plan_instance_is_eligible (const struct instance *instance,
                                const struct step *step)
@@ -74,7 +78,8 @@
          || rst_instance_entry_has_label (&instance->entry, step->spec->label);
 }
 
-/* Estimates are rough; the queue's own run times say as much. */
+/* Since estimates are rough, the mean run time of the queue's tasks counts as
+   much as the estimate. */
 static double
 expected_run_ms (const struct job *job, int index)
 {
@@ -85,7 +90,7 @@
              : estimate_ms;
 }
 
-/* Time that a step and those behind it still take at the least. */
+/* Returns the expected run time of a step and of those that follow it. */
 static double
 remaining_path_ms (const struct step *step)
 {
@@ -99,6 +104,7 @@
   return longest;
 }
 
+/* Returns the expected run time of the job's longest chain of steps. */
 static double
 critical_path_ms (const struct job *job)
 {
@@ -117,7 +123,6 @@
   return longest;
 }
 
-/* Sets when a step has to start for its job to be on time. */
 void
 rst_plan_set_objective (struct step *step)
 {
@@ -131,8 +136,8 @@
                       - (int64_t)remaining_path_ms (step);
 }
 
-/* What can still be on time comes first, by priority and the latest moment
-   at which it has to start; what is late follows. */
+/* Within a band, steps are ranked by the time by which they have to start to
+   meet the objective.  Long-running steps come before all others. */
 static int64_t
 compute_rank (const struct rst_planner *planner, const struct step *step)
 {
@@ -165,7 +170,7 @@
   return left->rank < right->rank ? -1 : left->rank > right->rank;
 }
 
-/* Any number, the same for the same two. */
+/* Depends on the instance and the task only, so that runs are repeatable. */
 static double
 pseudo_random_score (const struct instance *instance, const struct task *task)
 {
@@ -175,7 +180,9 @@
   return (double)(mixed % 65536);
 }
 
-/* Lower is better: the tightest fit that suits the step. */
+/* Lower is better.  Scores the share of the instance's processors that are
+   left free, and penalties for an instance where the task or other tasks
+   failed and for one that is not in the rack of the step's data. */
 static double
 best_fit_score (const struct instance *instance, const struct step *step,
                 const struct task *task)
@@ -209,8 +216,9 @@
     }
 }
 
-/* Instances that the step may use as far as advice goes.  An advised step
-   names few, so that a long queue costs little. */
+/* Finds the schedulable instances that a step may use.  If the step needs
+   approval, only its approvals are looked at; they are few, so that a pass
+   over many waiting steps stays cheap. */
 static const GPtrArray *
 find_candidates (struct rst_planner *planner, const struct step *step)
 {
@@ -264,7 +272,7 @@
          && !(task->in_doubt && planner->has_inherited);
 }
 
-/* Returns how many tasks found no place. */
+/* Returns the number of tasks for which there was no instance. */
 static int
 place_tasks (struct rst_planner *planner, struct step *step)
 {
@@ -291,13 +299,15 @@
   return left;
 }
 
+/** struct instance_slots - Number of a gang's tasks that fit an instance. */
 struct instance_slots
 {
   struct instance *instance;
   int slots;
 };
 
-/* Instances with leave for the step and their free places. */
+/* Finds the instances that a gang may use and how many of its tasks fit each
+   of them. */
 static GArray *
 find_gang_slots (struct rst_planner *planner, const struct step *step,
                  int *total)
@@ -375,7 +385,7 @@
   rst_resources_add (&instance->reserved, &need, slots);
 }
 
-/* Holds free room back for a gang that comes next but doesn't fit yet. */
+/* Reserves free room for a gang that does not fit as a whole yet. */
 static void
 reserve_for_gang (struct rst_planner *planner, const struct step *step)
 {
@@ -400,7 +410,7 @@
     }
 }
 
-/* Returns how many tasks found no place: all or none. */
+/* Returns the number of tasks for which there was no room: all or none. */
 static int
 place_gang (struct rst_planner *planner, struct step *step,
             int *reserving_gangs)
@@ -432,7 +442,7 @@
   return left;
 }
 
-/* Lists the instances that take starts, with nothing kept on them. */
+/* Lists the schedulable instances and clears all reservations. */
 static void
 begin_pass (struct rst_planner *planner)
 {
@@ -456,7 +466,8 @@
     }
 }
 
-/* Whether as small a need found no room earlier in this pass. */
+/* Whether no instance had room for the same or a smaller need earlier in this
+   pass. */
 static bool
 is_known_unplaceable (const struct rst_planner *planner,
                       const struct step *step)
@@ -503,7 +514,8 @@
 
   if (!is_first_gang_request && !has_room_for_step (planner, step))
     return;
-  /* While the job is being stored, advice can be on its way. */
+  /* Nothing starts before the job is committed, but advice may already be
+     requested. */
   if (!job->stored)
     left = step->advice_requested ? 0 : step->tasks_waiting;
   else if (step->spec->gang)
--- a/src/cell/plan_runs.c
+++ b/src/cell/plan_runs.c
@@ -1,28 +1,31 @@
+/* Runs: start and stop orders, their answers, and the ends of runs. */
 #include <inttypes.h>
 #include <string.h>
 
 #include "cell/pace.h"
 #include "cell/planner_private.h"
 
-/** Time between two stop orders for one run, in milliseconds. */
+/** Time after which an unanswered stop order is repeated. */
 #define STOP_RETRY_MS 300
 
-/** Failed runs in a row after which an instance gets no work for a while. */
+/** Number of consecutive failed runs at which an instance is paused. */
 #define FAILURES_MAX 3
 
-/** How long it then gets none, in milliseconds, for each further failure. */
+/** Pause at that number; each further failure adds as much. */
 #define FAILURE_PAUSE_MS 1500
 
-/** Pause after an instance turned an order away, in milliseconds. */
+/** Base of the pause after a rejected start order; it doubles with each
+    consecutive rejection. */
 #define REJECTION_PAUSE_MS 400
 
-/** Longest pause of an instance, in milliseconds. */
+/** Longest pause of an instance. */
 #define PAUSE_MAX_MS 6000
 
-/** A run whose progress stands still for this long is withdrawn. */
+/** A run that makes no progress for this long, and for longer than its task's
+    estimate, is stopped. */
 #define STALL_TIMEOUT_MS 3500
 
-/** Weight of a run in its queue's learned run time. */
+/** Weight of a new run in the mean run time of its queue's tasks. */
 #define RUN_TIME_WEIGHT 0.02
 
 void
@@ -67,7 +70,6 @@
   return run;
 }
 
-/* An instance has said that the run is there. */
 void
 rst_plan_run_mark_started (struct run *run)
 {
@@ -76,7 +78,6 @@
   rst_plan_job_mark_started (run->task->step->occurrence->job);
 }
 
-/* A task of the job has started. */
 void
 rst_plan_job_mark_started (struct job *job)
 {
@@ -180,19 +181,21 @@
     }
 }
 
-/* Nothing of the run is on its instance; the task may start elsewhere. */
 void
 rst_plan_run_mark_lost (struct rst_planner *planner, struct run *run,
                         const char *why)
 {
   struct step *step = run->task->step;
 
-  rst_info (RST_PLAN_LOG, "Run is gone.", "task", run->name, "instance",
-            run->instance->entry.id, "why", why);
+  rst_info (RST_PLAN_LOG, "Run was lost; its task may start elsewhere.",
+            "task", run->name, "instance", run->instance->entry.id, "why",
+            why);
   rst_plan_run_remove (planner, run);
   stop_gang (planner, step);
 }
 
+/* Reads the answer to a start or stop order.  Returns the run that it is
+   about, or NULL if there is none with that attempt number. */
 static struct run *
 read_run_answer (struct rst_planner *planner, struct rst_reader *reader,
                  enum rst_result *result, int64_t *clock_ms)
@@ -215,6 +218,7 @@
   return run != NULL && run->attempt == attempt ? run : NULL;
 }
 
+/* Pauses an instance after a start order failed there. */
 static void
 pause_instance (struct rst_planner *planner, struct instance *instance)
 {
@@ -223,7 +227,8 @@
   instance->rejections = MIN (instance->rejections + 1, 4);
   pause = MIN (REJECTION_PAUSE_MS << instance->rejections, PAUSE_MAX_MS);
   instance->paused_until = MAX (instance->paused_until, planner->now + pause);
-  rst_info (RST_PLAN_LOG, "Instance pauses.", "instance", instance->entry.id);
+  rst_info (RST_PLAN_LOG, "Instance is paused after a failed start order.",
+            "instance", instance->entry.id);
 }
 
 void
@@ -245,9 +250,10 @@
       return;
     }
   planner->stats.starts_failed++;
-  rst_info (RST_PLAN_LOG, "Start did not succeed.", "task", run->name,
-            "instance", run->instance->entry.id, "result",
-            rst_result_name (result));
+  rst_info (RST_PLAN_LOG, "Start order failed.", "task", run->name, "instance",
+            run->instance->entry.id, "result", rst_result_name (result));
+  /* An order without a usable answer may have been carried out, or may still
+     be; the task must not start elsewhere before the run has been stopped. */
   if ((result == RST_RESULT_UNKNOWN || result == RST_RESULT_OTHER_INCARNATION)
       && !RST_CELL_FAULT (RST_CELL_FAULT_EARLY_RESTART))
     {
@@ -306,7 +312,7 @@
       finish_task (planner, task);
       return;
     }
-  /* One such end stands for the whole gang. */
+  /* A gang completes as a whole: one completed run stands for all. */
   for (int i = 0; i < step->spec->count; i++)
     finish_task (planner, &step->tasks[i]);
 }
@@ -323,11 +329,11 @@
     return;
   instance->paused_until
       = planner->now + MIN ((rst_ms)excess * FAILURE_PAUSE_MS, PAUSE_MAX_MS);
-  rst_warning (RST_PLAN_LOG, "Instance fails what it runs; it pauses.",
+  rst_warning (RST_PLAN_LOG, "Runs keep failing on an instance; it is paused.",
                "instance", instance->entry.id);
 }
 
-/* Counts a failed run; false when it was counted before. */
+/* Counts a failed run of a task.  Returns false if it was counted before. */
 static bool
 count_failure (struct task *task, int attempt)
 {
@@ -346,7 +352,7 @@
 {
   struct step *step = task->step;
   struct job *job = step->occurrence->job;
-  /* The first task keeps the count of its gang. */
+  /* Failures of a gang are counted on its first task. */
   struct task *counter = step->spec->gang ? &step->tasks[0] : task;
 
   task->avoided_instance = instance;
@@ -369,7 +375,6 @@
   queue->mean_run_ms += RUN_TIME_WEIGHT * (took_ms - queue->mean_run_ms);
 }
 
-/* Applies an end that an instance lists. */
 void
 rst_plan_apply_end (struct rst_planner *planner, struct instance *instance,
                     const struct rst_run *end)
@@ -420,7 +425,6 @@
     }
 }
 
-/* Repeats stops, withdraws starts without an answer and stalled runs. */
 void
 rst_plan_check_runs (struct rst_planner *planner, struct instance *instance)
 {
@@ -447,8 +451,8 @@
                && planner->now - run->progressed_at > STALL_TIMEOUT_MS
                && planner->now - run->progressed_at > step->spec->estimate_ms)
         {
-          rst_info (RST_PLAN_LOG, "Run stands still and is stopped.", "task",
-                    run->name, "instance", instance->entry.id);
+          rst_info (RST_PLAN_LOG, "Run makes no progress and is stopped.",
+                    "task", run->name, "instance", instance->entry.id);
           instance->paused_until = planner->now + FAILURE_PAUSE_MS;
           run->task->avoided_instance = instance;
           stop_gang (planner, step);
--- a/src/cell/planner.c
+++ b/src/cell/planner.c
@@ -4,14 +4,15 @@
 
 #include "cell/planner_private.h"
 
-/** Time between looks at leases, stops and lost answers, in milliseconds. */
+/** Time between checks of leases, unanswered orders and due occurrences. */
 #define CHECK_INTERVAL_MS 100
 
-/** Least time between two placements, so that events gather; milliseconds. */
+/** Minimum time between two placement passes, so that one pass handles several
+    events. */
 #define PASS_INTERVAL_MS 4
 
-/** Waiting steps that add a millisecond to the time between placements, so
-    that a backlog does not take all of the processor. */
+/** Number of waiting steps that adds a millisecond to the time between passes,
+    so that a backlog does not use up the processor. */
 #define PASS_STEPS_PER_MS 16
 
 static void
@@ -144,7 +145,8 @@
 {
   if (planner->config != NULL && config->version < planner->config->version)
     {
-      rst_warning (RST_PLAN_LOG, "An older configuration was ignored.");
+      rst_warning (RST_PLAN_LOG,
+                   "Configuration with an outdated version was ignored.");
       rst_cellconfig_destroy (config);
       return;
     }
@@ -174,7 +176,8 @@
   else
     g_hash_table_remove (planner->evacuated_zones, zone);
   rst_info (RST_PLAN_LOG,
-            evacuated ? "Zone takes no starts." : "Zone takes starts again.",
+            evacuated ? "Zone is evacuated; it takes no more starts."
+                      : "Zone is no longer evacuated; it takes starts again.",
             "zone", zone);
   planner->changed = true;
 }
