--- a/src/cell/plan_advice.c
+++ b/src/cell/plan_advice.c
@@ -68,7 +68,7 @@
     return "";
   approval = g_hash_table_lookup (step->approvals, instance->entry.id);
   if (approval == NULL || approval->rejected
-      || approval->born != instance->born
+      || approval->incarnation != instance->incarnation
       || approval->expires_at <= planner->now)
     return NULL;
   return approval->ticket;
@@ -426,7 +426,7 @@
           g_hash_table_insert (step->approvals, g_strdup (id), approval);
         }
       approval->rejected = ticket == NULL;
-      approval->born = instance->born;
+      approval->incarnation = instance->incarnation;
       /* Tickets are valid from the service's answer on, a moment before now.
          The margin allows for that. */
       approval->expires_at
--- a/src/cell/planner_private.h
+++ b/src/cell/planner_private.h
@@ -39,9 +39,9 @@
  * @RST_RECORD_PROGRESS: The progress of a job recorded earlier.
  * @RST_RECORD_INSTANCE: An instance that takes starts.
  * @RST_RECORD_QUEUE: The settings of a queue.
- * @RST_RECORD_INSTANCE_OUT: An unreachable instance, what it may still run
- *   and until when.
- * @RST_RECORD_JOB_OVER: An ended job without its steps.
+ * @RST_RECORD_INSTANCE_UNREACHABLE: An unreachable instance, what it may still
+ * run and until when.
+ * @RST_RECORD_JOB_ENDED: An ended job without its steps.
  */
 enum rst_record_kind
 {
@@ -49,8 +49,8 @@
   RST_RECORD_PROGRESS,
   RST_RECORD_INSTANCE,
   RST_RECORD_QUEUE,
-  RST_RECORD_INSTANCE_OUT,
-  RST_RECORD_JOB_OVER,
+  RST_RECORD_INSTANCE_UNREACHABLE,
+  RST_RECORD_JOB_ENDED,
 };
 
 /** struct agent - An agent connected over a link. */
@@ -82,8 +82,8 @@
   struct agent *agent;
   /* Task name to struct run. */
   GHashTable *runs;
-  /* Its incarnation: the time of its start as it reports it. */
-  int64_t born;
+  /* The time of its start, as it reports it. */
+  int64_t incarnation;
   /* Number of further incarnations that this planner has seen; each has its
      own fencing token. */
   int64_t incarnation_count;
@@ -205,7 +205,7 @@
   /* Token that a start of the step there has to carry. */
   char ticket[RST_TOKEN_SIZE];
   /* Incarnation of the instance that the ticket is valid for. */
-  int64_t born;
+  int64_t incarnation;
   /* When the ticket is no longer used. */
   rst_ms expires_at;
 };
@@ -683,8 +683,8 @@
 /* plan_journal.c */
 bool rst_plan_job_has_runs (const struct job *job);
 
-/** rst_plan_mark() - Marks a job for the next commit. */
-void rst_plan_mark (struct rst_planner *planner, struct job *job);
+/** rst_plan_mark_dirty() - Marks a job for the next commit. */
+void rst_plan_mark_dirty (struct rst_planner *planner, struct job *job);
 
 /** rst_plan_commit() - Commits what changed, if a commit is due. */
 void rst_plan_commit (struct rst_planner *planner);
