--- a/test/unit/cell_harness.h
+++ b/test/unit/cell_harness.h
@@ -1,4 +1,5 @@
-// Drives one planner by hand: what it sends is kept for inspection.
+// A planner under test: delivers events to it and records its messages,
+// replies and commits.
 #ifndef RST_TEST_CELL_HARNESS_H
 #define RST_TEST_CELL_HARNESS_H
 
@@ -15,7 +16,7 @@
 namespace harness
 {
 
-// A message that the planner sent, decoded as far as tests look at it.
+// A message that the planner sent, decoded as far as tests need it.
 struct Sent
 {
   uint64_t link;
@@ -24,7 +25,7 @@
   std::string task;
   int64_t number;
   int attempt = 0;
-  std::vector<std::string> ids; // those that advice is asked for
+  std::vector<std::string> ids; // instances named in an advice request
 };
 
 struct Reply
@@ -62,9 +63,9 @@
   rst_ms now = 0;
   int64_t clock = 5000;
   bool is_confirmed = true;
-  // Segments of the journal that could not be read.
+  // Number of journal segments with a record that could not be read.
   int unreadable = 0;
-  // Token of the last hold of each instance.
+  // Fencing token of the last hold message for each instance.
   std::map<std::string, int64_t> fencing_tokens;
 
   void
@@ -76,7 +77,7 @@
       rst_planner_set_confirmed (planner, now);
   }
 
-  // Lets time pass in small steps, as the daemon's loop does.
+  // Advances the clock and runs the planner every 5 ms.
   void
   advance_time (rst_ms length)
   {
@@ -87,7 +88,7 @@
       }
   }
 
-  // A queue "q" (advised when asked for) and a customer with a limit.
+  // Configures a queue "q" and a customer with a limit; 0 means none.
   void
   configure (int64_t cpu_limit = 0, bool needs_approval = false,
              int64_t version = 1)
@@ -139,21 +140,22 @@
                            ("n" + std::to_string (link)).c_str (), zone);
   }
 
-  // What an instance lists: runs without a number, ends with one.  When the
-  // planner raises the token for another life, the agent looks again.
+  // Reports what an instance lists: running ones without a number, ended ones
+  // with one.  If the planner then raises the fencing token because of a new
+  // incarnation, the agent reports once more.
   void
   report (uint64_t link, const std::string &id,
           const std::vector<rst_run> &runs, int64_t incarnation = 1,
           rst_result result = RST_RESULT_OK, int64_t lease_left = 0)
   {
-    int64_t fence = fencing_tokens[id];
+    int64_t token = fencing_tokens[id];
 
     report_once (link, id, runs, incarnation, result, lease_left);
-    if (fencing_tokens[id] != fence)
+    if (fencing_tokens[id] != token)
       report_once (link, id, runs, incarnation, result, lease_left);
   }
 
-  // The same under the token that the agent has now.
+  // Reports once, under the present fencing token.
   void
   report_once (uint64_t link, const std::string &id,
                const std::vector<rst_run> &runs, int64_t incarnation = 1,
@@ -262,7 +264,7 @@
     rst_planner_receive_call (planner, &request);
   }
 
-  // Answers the commit under way, as the store would.
+  // Completes the commit under way.
   void
   complete_commit ()
   {
@@ -270,7 +272,7 @@
     advance_time (10);
   }
 
-  // Passes time and stores until nothing is left to commit.
+  // Advances the clock and completes commits until nothing is left to commit.
   void
   settle ()
   {
@@ -284,7 +286,7 @@
       }
   }
 
-  // A serving planner with an agent and instances that list nothing.
+  // Configures the planner and adds an agent and instances without runs.
   void
   start_serving (int instances, bool needs_approval = false,
                  int64_t cpu_limit = 0)
@@ -301,7 +303,7 @@
     replies.clear ();
   }
 
-  // Reads the journal of another planner.
+  // Applies the journal of another planner.
   void
   restore (const Planner &predecessor)
   {
@@ -311,21 +313,21 @@
         unreadable++;
   }
 
-  // Leaves only the segments that have not been removed since.
+  // Deletes the segments that later commits have removed.
   void
   delete_removed_segments ()
   {
-    std::vector<Commit> kept;
+    std::vector<Commit> remaining;
 
     for (const Commit &commit : commits)
       {
         for (int64_t removed : commit.removed)
-          std::erase_if (kept, [removed] (const Commit &segment) {
+          std::erase_if (remaining, [removed] (const Commit &segment) {
             return segment.segment == removed;
           });
-        kept.push_back (commit);
+        remaining.push_back (commit);
       }
-    commits = kept;
+    commits = remaining;
   }
 
   std::vector<Sent>
--- a/test/unit/planner_test.cc
+++ b/test/unit/planner_test.cc
@@ -1,3 +1,5 @@
+// Tests of the planner: its orders, replies and commits under the events that
+// the harness delivers.
 #include <gtest/gtest.h>
 
 #include "cell_harness.h"
@@ -48,7 +50,7 @@
   EXPECT_EQ (cell.reply_to (9)->reply.state, RST_JOB_COMPLETED);
 }
 
-TEST (Planner, CountsFailedRunsInWhateverOrderTheyAreListed)
+TEST (Planner, CountsFailedRunsInAnyOrder)
 {
   Planner cell;
 
@@ -101,13 +103,13 @@
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START)[0].number, 2);
 }
 
-TEST (Planner, RaisesTheTokenBeforeItGivesUpWhatAnEarlierLifeRan)
+TEST (Planner, RaisesTheTokenBeforeRestartingRunsOfAnEarlierIncarnation)
 {
   Planner cell;
-  int64_t fence;
+  int64_t first_token;
 
   cell.start_serving (2);
-  fence = cell.fencing_tokens["i-0"];
+  first_token = cell.fencing_tokens["i-0"];
   cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
   cell.settle ();
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
@@ -115,18 +117,19 @@
 
   cell.answer (1, RST_MSG_STARTED, id, task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
-  /* The new life is seen under the token that late orders carry too. */
+  /* The new incarnation is reported under the token of the earlier one, which
+     late orders carry too. */
   cell.report_once (1, id, {}, 2);
   cell.advance_time (200);
-  EXPECT_GT (cell.fencing_tokens[id], fence);
+  EXPECT_GT (cell.fencing_tokens[id], first_token);
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
-  /* A start to the earlier life was carried out in between. */
+  /* Meanwhile the new incarnation has carried out a late start order. */
   cell.report_once (1, id, { Planner::running (task_a0, 1) }, 2);
   cell.settle ();
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
 }
 
-TEST (Planner, TakesNoReportUnderAnEarlierToken)
+TEST (Planner, IgnoresReportsUnderAnEarlierToken)
 {
   Planner cell;
 
@@ -141,7 +144,7 @@
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
 }
 
-TEST (Planner, KeepsWithinAnInstancesRoomUntilAnEndIsListed)
+TEST (Planner, CountsTheResourcesOfARunUntilItsEndIsReported)
 {
   Planner cell;
 
@@ -176,7 +179,7 @@
   EXPECT_EQ (cell.reply_to (8)->reply.outcome, RST_OUTCOME_OK);
 }
 
-TEST (Planner, StartsAGangWholeOrNotAtAll)
+TEST (Planner, StartsAGangAsAWholeOrNotAtAll)
 {
   Planner cell;
 
@@ -202,7 +205,7 @@
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
 }
 
-TEST (Planner, StartsNothingWhereItMayNot)
+TEST (Planner, StartsNothingOnDrainingInstancesOrInEvacuatedZones)
 {
   Planner cell;
 
@@ -218,7 +221,7 @@
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START)[0].id, "i-1");
 }
 
-TEST (Planner, KeepsTheOrderOfSteps)
+TEST (Planner, StartsStepsInOrder)
 {
   Planner cell;
 
@@ -237,7 +240,7 @@
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
 }
 
-TEST (Planner, WaitsForTheLeaseOfAnInstanceThatDoesNotAnswer)
+TEST (Planner, WaitsUntilTheLeaseOfAnUnreachableInstanceHasExpired)
 {
   Planner cell;
 
@@ -255,7 +258,7 @@
   EXPECT_NE (cell.sent_of_kind (RST_MSG_START)[0].id, first);
 }
 
-TEST (Planner, RestartsWhatRanInAnInstancesEarlierLife)
+TEST (Planner, RestartsTasksOfAnEarlierIncarnation)
 {
   Planner cell;
 
@@ -269,7 +272,7 @@
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
 }
 
-TEST (Planner, StartsNothingOnAnInstanceBetweenTwoAgents)
+TEST (Planner, StartsNothingUntilTheNewAgentOfAnInstanceReports)
 {
   Planner cell;
 
@@ -286,7 +289,7 @@
   EXPECT_GT (cell.sent_of_kind (RST_MSG_START).size (), before);
 }
 
-TEST (Planner, StartsNothingOnInstancesBornSinceTheStoreWasLost)
+TEST (Planner, StartsNothingOnIncarnationsSeenSinceTheLastConfirmation)
 {
   Planner cell;
 
@@ -305,7 +308,7 @@
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
 }
 
-TEST (Planner, AsksForAdviceAndStartsWhereItMay)
+TEST (Planner, RequestsAdviceAndStartsOnlyWhereApproved)
 {
   Planner cell;
 
@@ -320,7 +323,7 @@
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START)[0].id, "i-2");
 }
 
-TEST (Planner, NamesManyInstancesInTheFirstCallOfAGang)
+TEST (Planner, NamesManyInstancesInTheFirstRequestOfAGang)
 {
   Planner cell;
 
@@ -331,7 +334,7 @@
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_ADVISE)[0].ids.size (), 30u);
 }
 
-TEST (Planner, AsksOnForAGangThatOneCallCannotPlace)
+TEST (Planner, RequestsMoreAdviceForAGangThatOneRequestCannotPlace)
 {
   Planner cell;
   std::vector<std::string> approved;
@@ -341,18 +344,18 @@
   cell.settle ();
   for (int round = 0; round < 6; round++)
     {
-      auto asks = cell.sent_of_kind (RST_MSG_ADVISE);
+      auto requests = cell.sent_of_kind (RST_MSG_ADVISE);
 
       if (!cell.sent_of_kind (RST_MSG_START).empty ())
         break;
-      ASSERT_EQ (asks.size (), 1u);
+      ASSERT_EQ (requests.size (), 1u);
       cell.sent.clear ();
-      /* One in three is approved, and stays so. */
+      /* One in three is approved; the answer for an instance never changes. */
       approved.clear ();
-      for (const std::string &id : asks[0].ids)
+      for (const std::string &id : requests[0].ids)
         if (std::stoi (id.substr (2)) % 3 == 0)
           approved.push_back (id);
-      cell.advice (1, asks[0].number, approved);
+      cell.advice (1, requests[0].number, approved);
       cell.advance_time (150);
     }
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 20u);
@@ -369,7 +372,7 @@
   EXPECT_LT (cell.sent_of_kind (RST_MSG_ADVISE)[0].ids.size (), 10u);
 }
 
-TEST (Planner, TellsWhichCallsItTakes)
+TEST (Planner, RepliesWithTheOutcomeOfEachRequest)
 {
   Planner cell;
 
@@ -387,7 +390,7 @@
   EXPECT_EQ (cell.reply_to (5)->reply.count, 0);
 }
 
-TEST (Planner, CountsAJobAsWaitingUntilAnInstanceHasATaskOfIt)
+TEST (Planner, CountsAJobAsPendingUntilATaskHasStarted)
 {
   Planner cell;
 
@@ -401,7 +404,7 @@
   EXPECT_EQ (cell.reply_to (9)->reply.count, 0);
 }
 
-TEST (Planner, AsksOnceForAJobThatIsNotStoredYet)
+TEST (Planner, RequestsAdviceOnceForAJobThatIsNotCommitted)
 {
   Planner cell;
 
