--- a/src/cell/plan_advice.c
+++ b/src/cell/plan_advice.c
@@ -54,7 +54,7 @@
 {
   struct advice_request *request = data;
 
-  g_ptr_array_free (request->ids, TRUE);
+  g_ptr_array_free (request->instance_ids, TRUE);
   g_free (request);
 }
 
@@ -216,8 +216,8 @@
 static void
 format_step_name (const struct advice_request *request, char *out, size_t size)
 {
-  g_snprintf (out, size, "%s.%" PRId64 ".%d", request->id, request->occurrence,
-              request->step);
+  g_snprintf (out, size, "%s.%" PRId64 ".%d", request->job_id,
+              request->occurrence, request->step);
 }
 
 /* Logs a request or its answer.  Before the answer, @took_ms is the expected
@@ -234,7 +234,7 @@
   if (!rst_log_enabled (G_LOG_LEVEL_INFO))
     return;
   format_step_name (request, name, sizeof name);
-  g_snprintf (named, sizeof named, "%u", request->ids->len);
+  g_snprintf (named, sizeof named, "%u", request->instance_ids->len);
   g_snprintf (took_text, sizeof took_text, "%" PRId64, took_ms);
   g_snprintf (approved_text, sizeof approved_text, "%d", approved);
   rst_info (RST_PLAN_LOG, sentence, "step", name, "named", named, "ms",
@@ -252,9 +252,9 @@
   rst_pack_int (&pack, RST_MSG_ADVISE);
   rst_pack_int (&pack, (int64_t)request->handle);
   rst_pack_text (&pack, name);
-  rst_pack_array (&pack, request->ids->len);
-  for (guint i = 0; i < request->ids->len; i++)
-    rst_pack_text (&pack, g_ptr_array_index (request->ids, i));
+  rst_pack_array (&pack, request->instance_ids->len);
+  for (guint i = 0; i < request->instance_ids->len; i++)
+    rst_pack_text (&pack, g_ptr_array_index (request->instance_ids, i));
   rst_plan_send (planner, request->link, &pack);
 }
 
@@ -288,16 +288,16 @@
     }
   request = g_new0 (struct advice_request, 1);
   request->handle = planner->next_handle++;
-  g_strlcpy (request->id, job->id, sizeof request->id);
+  g_strlcpy (request->job_id, job->id, sizeof request->job_id);
   request->occurrence = step->occurrence->number;
   request->step = step->index;
   request->link = agent->link;
   request->expected_ms = expected_ms;
   request->sent_at = planner->now;
-  request->ids = g_ptr_array_new_with_free_func (g_free);
+  request->instance_ids = g_ptr_array_new_with_free_func (g_free);
   for (int i = 0; i < named; i++)
     g_ptr_array_add (
-        request->ids,
+        request->instance_ids,
         g_strdup (
             g_array_index (found, struct candidate, i).instance->entry.id));
   agent->open_requests++;
@@ -320,13 +320,14 @@
   const struct advice_request *request = step->advice_request;
   double wanted = tasks;
 
-  for (guint i = 0;
-       request->reserves_room && wanted > 0.0 && i < request->ids->len; i++)
+  for (guint i = 0; request->reserves_room && wanted > 0.0
+                    && i < request->instance_ids->len;
+       i++)
     {
       struct instance *instance = g_hash_table_lookup (
-          planner->instances, g_ptr_array_index (request->ids, i));
+          planner->instances, g_ptr_array_index (request->instance_ids, i));
       struct approval *approval = g_hash_table_lookup (
-          step->approvals, g_ptr_array_index (request->ids, i));
+          step->approvals, g_ptr_array_index (request->instance_ids, i));
       double chance = approval != NULL
                           ? 1.0
                           : step->occurrence->job->queue->approval_rate;
@@ -343,7 +344,7 @@
 static struct step *
 find_step (struct rst_planner *planner, const struct advice_request *request)
 {
-  struct job *job = g_hash_table_lookup (planner->jobs, request->id);
+  struct job *job = g_hash_table_lookup (planner->jobs, request->job_id);
   struct occurrence *occurrence
       = job != NULL ? rst_plan_find_occurrence (job, request->occurrence)
                     : NULL;
@@ -408,9 +409,9 @@
 
       g_hash_table_insert (approved, id, ticket);
     }
-  for (guint i = 0; i < request->ids->len; i++)
+  for (guint i = 0; i < request->instance_ids->len; i++)
     {
-      const char *id = g_ptr_array_index (request->ids, i);
+      const char *id = g_ptr_array_index (request->instance_ids, i);
       const char *ticket = g_hash_table_lookup (approved, id);
       struct instance *instance = g_hash_table_lookup (planner->instances, id);
       struct approval *approval = g_hash_table_lookup (step->approvals, id);
@@ -455,7 +456,7 @@
   if (result != RST_RESULT_OK)
     {
       planner->stats.advice_failed++;
-      rst_info (RST_PLAN_LOG, "Advice request failed.", "job", request->id,
+      rst_info (RST_PLAN_LOG, "Advice request failed.", "job", request->job_id,
                 "result", rst_result_name (result));
       end_request (planner, request, FAILED_REQUEST_PAUSE_MS);
       return;
--- a/src/cell/plan_instances.c
+++ b/src/cell/plan_instances.c
@@ -43,7 +43,7 @@
 /* Returns the latest time at which a lease expires if an unreachable agent
    goes on extending it for as long as it may. */
 static rst_ms
-latest_lease_expiry (const struct rst_planner *planner)
+get_latest_lease_expiry (const struct rst_planner *planner)
 {
   return planner->now + planner->timing.unconfirmed_renewal_ms
          + planner->timing.lease_ms * 102 / 100 + LEASE_MARGIN_MS;
@@ -57,7 +57,7 @@
   g_strlcpy (instance->entry.id, id, sizeof instance->entry.id);
   instance->runs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                           rst_plan_run_free);
-  instance->lease_expires_at = latest_lease_expiry (planner);
+  instance->lease_expires_at = get_latest_lease_expiry (planner);
   g_hash_table_insert (planner->instances, instance->entry.id, instance);
   return instance;
 }
@@ -147,7 +147,7 @@
   if (!instance->runs_known)
     return;
   instance->runs_unknown_since = planner->now;
-  instance->lease_expires_at = latest_lease_expiry (planner);
+  instance->lease_expires_at = get_latest_lease_expiry (planner);
   instance->runs_known = false;
 }
 
--- a/src/cell/plan_limit.c
+++ b/src/cell/plan_limit.c
@@ -5,7 +5,7 @@
 /* Whether a use of @used and @tasks times @need stays within a limit; a limit
    of 0 means none. */
 static bool
-is_within (int64_t limit, int64_t used, int64_t need, int tasks)
+is_within_limit (int64_t limit, int64_t used, int64_t need, int tasks)
 {
   return limit == 0 || used + need * tasks <= limit;
 }
@@ -21,13 +21,13 @@
   if (RST_CELL_FAULT (RST_CELL_FAULT_IGNORE_LIMIT))
     return true;
   rst_resources_add (&used, &customer->in_doubt, 1);
-  return is_within (limit->cpu, used.cpu, need.cpu, tasks)
-         && is_within (limit->memory, used.memory, need.memory, tasks)
-         && is_within (limit->gpu, used.gpu, need.gpu, tasks);
+  return is_within_limit (limit->cpu, used.cpu, need.cpu, tasks)
+         && is_within_limit (limit->memory, used.memory, need.memory, tasks)
+         && is_within_limit (limit->gpu, used.gpu, need.gpu, tasks);
 }
 
 static void
-count_step_in_doubt (const struct step *step)
+add_step_in_doubt (const struct step *step)
 {
   struct customer *customer = step->occurrence->job->customer;
   struct rst_resources need = rst_step_get_task_need (step->spec);
@@ -55,5 +55,5 @@
     ((struct customer *)value)->in_doubt = none;
   for (guint i = 0; planner->has_inherited && i < planner->waiting_steps->len;
        i++)
-    count_step_in_doubt (g_ptr_array_index (planner->waiting_steps, i));
+    add_step_in_doubt (g_ptr_array_index (planner->waiting_steps, i));
 }
--- a/src/cell/plan_pace.c
+++ b/src/cell/plan_pace.c
@@ -28,7 +28,7 @@
 /* Returns the worst response time of the instance's runs as a percentage of
    its bound, or -1 if no run has a bound. */
 static int64_t
-worst_load (const struct instance *instance, bool *has_best_effort)
+find_worst_load (const struct instance *instance, bool *has_best_effort)
 {
   int64_t worst = -1;
   GHashTableIter iter;
@@ -118,7 +118,7 @@
 rst_plan_adjust_pace (struct rst_planner *planner, struct instance *instance)
 {
   bool has_best_effort;
-  int64_t load = worst_load (instance, &has_best_effort);
+  int64_t load = find_worst_load (instance, &has_best_effort);
   GHashTableIter iter;
   gpointer value;
 
--- a/src/cell/plan_place.c
+++ b/src/cell/plan_place.c
@@ -27,19 +27,19 @@
 rst_plan_count_slots (const struct instance *instance, const struct step *step)
 {
   struct rst_resources need = rst_step_get_task_need (step->spec);
-  struct rst_resources left = instance->entry.capacity;
+  struct rst_resources available = instance->entry.capacity;
   int64_t slots = step->spec->count;
 
   if (RST_CELL_FAULT (RST_CELL_FAULT_IGNORE_CAPACITY))
     return (int)slots;
-  rst_resources_add (&left, &instance->used, -1);
-  rst_resources_add (&left, &instance->reserved, -1);
+  rst_resources_add (&available, &instance->used, -1);
+  rst_resources_add (&available, &instance->reserved, -1);
   if (need.cpu > 0)
-    slots = MIN (slots, left.cpu / need.cpu);
+    slots = MIN (slots, available.cpu / need.cpu);
   if (need.memory > 0)
-    slots = MIN (slots, left.memory / need.memory);
+    slots = MIN (slots, available.memory / need.memory);
   if (need.gpu > 0)
-    slots = MIN (slots, left.gpu / need.gpu);
+    slots = MIN (slots, available.gpu / need.gpu);
   if (step->spec->max_per_instance > 0)
     slots = MIN (slots, step->spec->max_per_instance);
   return (int)MAX (slots, 0);
@@ -81,7 +81,7 @@
 /* Since estimates are rough, the mean run time of the queue's tasks counts as
    much as the estimate. */
 static double
-expected_run_ms (const struct job *job, int index)
+get_expected_run_ms (const struct job *job, int index)
 {
   double estimate_ms = (double)job->desc->steps[index].estimate_ms;
 
@@ -92,21 +92,21 @@
 
 /* Returns the expected run time of a step and of those that follow it. */
 static double
-remaining_path_ms (const struct step *step)
+get_remaining_path_ms (const struct step *step)
 {
   const struct job *job = step->occurrence->job;
-  double longest = expected_run_ms (job, step->index);
+  double longest = get_expected_run_ms (job, step->index);
 
   for (int i = step->index + 1; i < job->desc->step_count; i++)
     for (int k = 0; k < job->desc->steps[i].after_count; k++)
       if (job->desc->steps[i].after[k] >= step->index)
-        longest += expected_run_ms (job, i);
+        longest += get_expected_run_ms (job, i);
   return longest;
 }
 
 /* Returns the expected run time of the job's longest chain of steps. */
 static double
-critical_path_ms (const struct job *job)
+get_critical_path_ms (const struct job *job)
 {
   double ends[RST_STEPS_MAX] = { 0 };
   double longest = 0.0;
@@ -117,7 +117,7 @@
 
       for (int k = 0; k < step->after_count; k++)
         ends[i] = MAX (ends[i], ends[step->after[k]]);
-      ends[i] += expected_run_ms (job, i);
+      ends[i] += get_expected_run_ms (job, i);
       longest = MAX (longest, ends[i]);
     }
   return longest;
@@ -130,10 +130,10 @@
   const struct rst_queue *queue = &job->queue->settings;
 
   step->objective_ms
-      = (int64_t)(critical_path_ms (job) * (double)queue->slack / 1000.0)
+      = (int64_t)(get_critical_path_ms (job) * (double)queue->slack / 1000.0)
         + queue->target_ms;
   step->start_by_ms = step->occurrence->due_ms + step->objective_ms
-                      - (int64_t)remaining_path_ms (step);
+                      - (int64_t)get_remaining_path_ms (step);
 }
 
 /* Within a band, steps are ranked by the time by which they have to start to
@@ -170,27 +170,29 @@
   return left->rank < right->rank ? -1 : left->rank > right->rank;
 }
 
-/* Depends on the instance and the task only, so that runs are repeatable. */
+/* Returns the same score for the same instance and task, so that replays are
+   repeatable. */
 static double
-pseudo_random_score (const struct instance *instance, const struct task *task)
+score_pseudo_randomly (const struct instance *instance,
+                       const struct task *task)
 {
-  guint mixed = g_str_hash (instance->entry.id) * 2654435761u
-                ^ (guint)(task->index * 40503 + task->step->rank);
+  guint hash = g_str_hash (instance->entry.id) * 2654435761u
+               ^ (guint)(task->index * 40503 + task->step->rank);
 
-  return (double)(mixed % 65536);
+  return (double)(hash % 65536);
 }
 
 /* Lower is better.  Scores the share of the instance's processors that are
    left free, and penalties for an instance where the task or other tasks
    failed and for one that is not in the rack of the step's data. */
 static double
-best_fit_score (const struct instance *instance, const struct step *step,
+score_best_fit (const struct instance *instance, const struct step *step,
                 const struct task *task)
 {
-  double left = (double)(instance->entry.capacity.cpu - instance->used.cpu
-                         - step->spec->need.cpu)
-                / (double)MAX (instance->entry.capacity.cpu, 1);
-  double total = left;
+  double free_share = (double)(instance->entry.capacity.cpu
+                               - instance->used.cpu - step->spec->need.cpu)
+                      / (double)MAX (instance->entry.capacity.cpu, 1);
+  double total = free_share;
 
   if (task != NULL && task->avoided_instance == instance)
     total += 4.0;
@@ -202,17 +204,18 @@
 }
 
 static double
-fit_score (const struct rst_planner *planner, const struct instance *instance,
-           const struct step *step, const struct task *task)
+score_instance (const struct rst_planner *planner,
+                const struct instance *instance, const struct step *step,
+                const struct task *task)
 {
   switch (planner->fit)
     {
     case RST_FIT_FIRST:
       return (double)instance->pass_index;
     case RST_FIT_RANDOM:
-      return pseudo_random_score (instance, task);
+      return score_pseudo_randomly (instance, task);
     default:
-      return best_fit_score (instance, step, task);
+      return score_best_fit (instance, step, task);
     }
 }
 
@@ -255,7 +258,7 @@
       if (!rst_plan_task_fits (instance, step)
           || !rst_plan_instance_is_eligible (instance, step))
         continue;
-      score = fit_score (planner, instance, step, task);
+      score = score_instance (planner, instance, step, task);
       if (best == NULL || score < best_score)
         {
           best = instance;
@@ -277,7 +280,7 @@
 place_tasks (struct rst_planner *planner, struct step *step)
 {
   const GPtrArray *candidates = find_candidates (planner, step);
-  int left = 0;
+  int unplaced = 0;
 
   for (int i = 0; i < step->spec->count; i++)
     {
@@ -288,15 +291,16 @@
         continue;
       if (!rst_plan_is_below_limit (step, 1))
         return 0;
-      instance = left == 0 ? choose_instance (planner, candidates, step, task)
-                           : NULL;
+      instance = unplaced == 0
+                     ? choose_instance (planner, candidates, step, task)
+                     : NULL;
       if (instance == NULL)
-        left++;
+        unplaced++;
       else
         rst_plan_start_task (planner, task, instance, task->attempt + 1,
                              rst_plan_find_ticket (planner, step, instance));
     }
-  return left;
+  return unplaced;
 }
 
 /** struct instance_slots - Number of a gang's tasks that fit an instance. */
@@ -417,7 +421,7 @@
 {
   GArray *gang_slots;
   int total;
-  int left = 0;
+  int unplaced = 0;
 
   if (!gang_may_start (planner, step)
       || !rst_plan_is_below_limit (step, step->spec->count))
@@ -430,7 +434,7 @@
     }
   else
     {
-      left = step->spec->count;
+      unplaced = step->spec->count;
       if (*reserving_gangs < RESERVING_GANGS_MAX
           && step->rank < RANK_BAND_LATE)
         {
@@ -439,7 +443,7 @@
         }
     }
   g_array_free (gang_slots, TRUE);
-  return left;
+  return unplaced;
 }
 
 /* Lists the schedulable instances and clears all reservations. */
@@ -510,24 +514,24 @@
   const struct job *job = step->occurrence->job;
   bool is_first_gang_request = step->spec->gang && !step->advice_requested
                                && job->queue->settings.needs_approval;
-  int left;
+  int unplaced;
 
   if (!is_first_gang_request && !has_room_for_step (planner, step))
     return;
   /* Nothing starts before the job is committed, but advice may already be
      requested. */
   if (!job->stored)
-    left = step->advice_requested ? 0 : step->tasks_waiting;
+    unplaced = step->advice_requested ? 0 : step->tasks_waiting;
   else if (step->spec->gang)
-    left = place_gang (planner, step, reserving_gangs);
+    unplaced = place_gang (planner, step, reserving_gangs);
   else
-    left = place_tasks (planner, step);
-  if (left == 0 || !job->queue->settings.needs_approval)
+    unplaced = place_tasks (planner, step);
+  if (unplaced == 0 || !job->queue->settings.needs_approval)
     return;
   if (step->advice_request != NULL)
-    rst_plan_reserve_requested (planner, step, left);
+    rst_plan_reserve_requested (planner, step, unplaced);
   else
-    rst_plan_request_advice (planner, step, left);
+    rst_plan_request_advice (planner, step, unplaced);
 }
 
 void
--- a/src/cell/planner.h
+++ b/src/cell/planner.h
@@ -151,7 +151,7 @@
  * rst_planner_configure() - Replaces the operators' configuration.
  * @config: The configuration; the planner takes ownership.
  *
- * A configuration with a lower version than the present one is ignored.
+ * A configuration with a lower version than the current one is ignored.
  */
 void rst_planner_configure (struct rst_planner *planner,
                             struct rst_cellconfig *config);
@@ -167,7 +167,7 @@
 
 /**
  * rst_planner_update_instance() - Adds an instance or changes its entry.
- * @entry: The instance's present entry; copied.
+ * @entry: The instance's current entry; copied.
  */
 void rst_planner_update_instance (struct rst_planner *planner,
                                   const struct rst_instance_entry *entry);
--- a/src/cell/planner_private.h
+++ b/src/cell/planner_private.h
@@ -75,7 +75,7 @@
   /* Resources reserved during one placement pass, for gangs and for advice
      requests under way. */
   struct rst_resources reserved;
-  /* Whether it takes starts in the present placement pass. */
+  /* Whether it takes starts in the current placement pass. */
   bool schedulable;
   /* Its index in the planner's schedulable_instances. */
   guint pass_index;
@@ -103,7 +103,7 @@
   /* Whether that record is part of the commit under way. */
   bool recording;
   rst_ms runs_unknown_since;
-  /* Whether its present agent has reported its runs. */
+  /* Whether its current agent has reported its runs. */
   bool runs_known;
   /* Whether it comes from the predecessor's journal, and has neither
      reported nor had its lease expire since. */
@@ -111,7 +111,7 @@
   /* Whether its last report lists a run that the planner does not know; it
      takes no starts until a report no longer lists one. */
   bool has_unknown_run;
-  /* When its present incarnation was first reported. */
+  /* When its current incarnation was first reported. */
   rst_ms incarnation_seen_at;
   /* When its lease has certainly expired, if its runs are not known. */
   rst_ms lease_expires_at;
@@ -319,7 +319,7 @@
   /* Whether it is in the planner's dirty jobs. */
   bool dirty;
   /* Whether its next record has to be a full one, because the segment with
-     the present one is about to be deleted. */
+     the current one is about to be deleted. */
   bool needs_full_record;
   /* Whether it exceeded the customer's share when submitted. */
   bool over_share;
@@ -335,8 +335,7 @@
 struct advice_request
 {
   uint64_t handle;
-  /* The job's id. */
-  char id[RST_JOB_ID_SIZE];
+  char job_id[RST_JOB_ID_SIZE];
   int64_t occurrence;
   int step;
   uint64_t link;
@@ -345,7 +344,7 @@
   rst_ms sent_at;
   /* Whether room is reserved on the instances named until it is answered. */
   bool reserves_room;
-  GPtrArray *ids;
+  GPtrArray *instance_ids;
 };
 
 struct rst_planner
@@ -355,9 +354,9 @@
   enum rst_step_order order;
   enum rst_fit fit;
   int64_t epoch;
-  /* Monotonic time of the present event. */
+  /* Monotonic time of the current event. */
   rst_ms now;
-  /* Unix time of the present event. */
+  /* Unix time of the current event. */
   int64_t unix_ms;
   rst_ms created_at;
   /* When the last request was sent with which the store confirmed this
@@ -397,9 +396,9 @@
   rst_ms next_check_at;
   /* Earliest time of the next placement pass. */
   rst_ms next_pass_at;
-  /* Instances that take starts in the present pass. */
+  /* Instances that take starts in the current pass. */
   GPtrArray *schedulable_instances;
-  /* Needs for which no instance had room in the present pass. */
+  /* Needs for which no instance had room in the current pass. */
   GArray *unmet_needs;
   /* Instances that the step being placed has valid tickets for. */
   GPtrArray *candidates;
--- a/test/unit/cell_harness.h
+++ b/test/unit/cell_harness.h
@@ -155,7 +155,7 @@
       report_once (link, id, runs, incarnation, result, lease_left);
   }
 
-  // Reports once, under the present fencing token.
+  // Reports once, under the current fencing token.
   void
   report_once (uint64_t link, const std::string &id,
                const std::vector<rst_run> &runs, int64_t incarnation = 1,
