--- a/src/cell/plan_instances.c
+++ b/src/cell/plan_instances.c
@@ -1,28 +1,34 @@
+/* Instances, agents and the agents' reports on instances. */
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** How long a removed entry is remembered before its instance is dropped. */
+/** How long an instance is kept after its entry was removed. */
 #define UNREGISTERED_RETENTION_MS 30000
 
-/** Added to a lapse for clocks that run 2 % slow and for travel. */
+/** Added to the time left of a lease, for the time that messages take; clocks
+    that run up to 2 % slow are allowed for by a factor of 102 %. */
 #define LEASE_MARGIN_MS 300
 
-/** Wait for the answer of a start whose agent is gone, in milliseconds. */
+/** How long the answer to a start order may take after its agent has
+    disconnected. */
 #define ORPHANED_START_TIMEOUT_MS 200
 
-/** Age of the store's word from which on instances born since get no work;
-    above the time between two renewals. */
+/** If the store's last confirmation is older than this, nothing is started on
+    instances whose incarnation was first seen after it.  This is above the
+    time between two confirmations. */
 #define NEW_INCARNATION_CONFIRM_AGE_MAX_MS 400
 
-/** Age of the store's word from which on nothing is started; well below the
-    time for which leases are extended without it. */
+/** If the store's last confirmation is older than this, nothing is started at
+    all.  This is well below the time for which agents extend leases without a
+    confirmation. */
 #define START_CONFIRM_AGE_MAX_MS 4000
 
-/** Tokens that one planner has for the lives of one instance. */
+/** Number of fencing tokens that a planner has for each instance, one for each
+    incarnation. */
 #define FENCING_TOKENS_PER_EPOCH 1000
 
-/** Time between attempts to hold an instance that has no agent's report. */
+/** Time between hold messages for an instance whose agent does not report. */
 #define HOLD_RETRY_MS 700
 
 void
@@ -34,9 +40,10 @@
   g_free (instance);
 }
 
-/* When the leases have run out that an agent out of reach may extend. */
+/* Returns the latest time at which a lease expires if an unreachable agent
+   goes on extending it for as long as it may. */
 static rst_ms
-latest_lease_expiry (const struct rst_planner *planner)
+get_latest_lease_expiry (const struct rst_planner *planner)
 {
   return planner->now + planner->timing.unconfirmed_renewal_ms
          + planner->timing.lease_ms * 102 / 100 + LEASE_MARGIN_MS;
@@ -50,7 +57,7 @@
   g_strlcpy (instance->entry.id, id, sizeof instance->entry.id);
   instance->runs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                           rst_plan_run_free);
-  instance->lease_expires_at = latest_lease_expiry (planner);
+  instance->lease_expires_at = get_latest_lease_expiry (planner);
   g_hash_table_insert (planner->instances, instance->entry.id, instance);
   return instance;
 }
@@ -78,8 +85,8 @@
   for (guint i = 0; i < planner->agents->len; i++)
     {
       struct agent *agent = g_ptr_array_index (planner->agents, i);
-      bool near = strcmp (agent->zone, instance->entry.zone) == 0;
-      int score = agent->instance_count + (near ? 0 : 100000);
+      bool is_same_zone = strcmp (agent->zone, instance->entry.zone) == 0;
+      int score = agent->instance_count + (is_same_zone ? 0 : 100000);
 
       if (best == NULL || score < best_score)
         {
@@ -90,8 +97,8 @@
   return best;
 }
 
-/* Raised with the planner and with each life of the instance: an order to an
-   earlier life that is carried out late is turned away. */
+/* The token rises with each planner and with each incarnation of the instance,
+   so that a late order to an earlier incarnation is rejected. */
 static int64_t
 get_fencing_token (const struct rst_planner *planner,
                    const struct instance *instance)
@@ -132,14 +139,15 @@
   rst_plan_send (planner, instance->agent->link, &pack);
 }
 
-/* Nobody reports on the instance; its lease may be extended for a while. */
+/* Marks the runs as unknown while no agent reports on the instance.  The
+   previous agent may still extend the lease for a while. */
 static void
 mark_runs_unknown (struct rst_planner *planner, struct instance *instance)
 {
   if (!instance->runs_known)
     return;
   instance->runs_unknown_since = planner->now;
-  instance->lease_expires_at = latest_lease_expiry (planner);
+  instance->lease_expires_at = get_latest_lease_expiry (planner);
   instance->runs_known = false;
 }
 
@@ -163,14 +171,13 @@
   send_hold (planner, instance);
 }
 
-/* Every instance gets an agent, one of its zone where there is one. */
 void
 rst_plan_assign_instances (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
 
-  /* What instances list can only be judged when all jobs are known. */
+  /* Reports can only be applied when all jobs have been restored. */
   if (!planner->restored)
     return;
   g_hash_table_iter_init (&iter, planner->instances);
@@ -183,7 +190,8 @@
     }
 }
 
-/* An agent that has come may take instances of its zone from others. */
+/* Assigns instances of a new agent's zone to it, if their agents are in other
+   zones or have more instances. */
 static void
 rebalance_to_agent (struct rst_planner *planner, struct agent *agent)
 {
@@ -194,13 +202,15 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       struct instance *instance = value;
-      bool near = strcmp (agent->zone, instance->entry.zone) == 0;
-      bool far = instance->agent != NULL
-                 && strcmp (instance->agent->zone, instance->entry.zone) != 0;
+      bool is_same_zone = strcmp (agent->zone, instance->entry.zone) == 0;
+      bool is_other_zone
+          = instance->agent != NULL
+            && strcmp (instance->agent->zone, instance->entry.zone) != 0;
 
-      if (instance->agent == NULL || !near)
+      if (instance->agent == NULL || !is_same_zone)
         continue;
-      if (far || instance->agent->instance_count > agent->instance_count + 1)
+      if (is_other_zone
+          || instance->agent->instance_count > agent->instance_count + 1)
         assign_to_agent (planner, instance, agent);
     }
 }
@@ -215,13 +225,14 @@
   g_strlcpy (agent->name, name, sizeof agent->name);
   g_strlcpy (agent->zone, zone, sizeof agent->zone);
   g_ptr_array_add (planner->agents, agent);
-  rst_info (RST_PLAN_LOG, "Agent joined.", "agent", name, "zone", zone);
+  rst_info (RST_PLAN_LOG, "Agent connected.", "agent", name, "zone", zone);
   rst_plan_assign_instances (planner);
   rebalance_to_agent (planner, agent);
   planner->changed = true;
 }
 
-/* Starts that the lost agent carried may never be answered. */
+/* Start orders sent through an agent that has disconnected may never be
+   answered. */
 static void
 shorten_start_timeouts (struct rst_planner *planner, struct instance *instance)
 {
@@ -244,7 +255,8 @@
 
   if (agent == NULL)
     return;
-  rst_info (RST_PLAN_LOG, "Agent left.", "agent", agent->name);
+  rst_info (RST_PLAN_LOG, "Agent disconnected; its instances are reassigned.",
+            "agent", agent->name);
   g_hash_table_iter_init (&iter, planner->instances);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -262,7 +274,8 @@
   planner->changed = true;
 }
 
-/* All that ran there has ended with the instance's earlier life. */
+/* Marks all runs of an instance as lost, since its earlier incarnation ended
+   or its lease expired. */
 static void
 mark_runs_lost (struct rst_planner *planner, struct instance *instance,
                 const char *why)
@@ -286,7 +299,8 @@
     instance = rst_plan_instance_new (planner, entry->id);
   address_changed = strcmp (instance->entry.address, entry->address) != 0;
   if (instance->entry.draining != entry->draining && entry->draining)
-    rst_info (RST_PLAN_LOG, "Instance drains.", "instance", entry->id);
+    rst_info (RST_PLAN_LOG, "Instance is draining; it takes no more starts.",
+              "instance", entry->id);
   instance->entry = *entry;
   instance->registered = true;
   instance->unregistered_at = 0;
@@ -309,14 +323,15 @@
   instance->registered = false;
   instance->unregistered_at = planner->now;
   planner->changed = true;
-  rst_info (RST_PLAN_LOG, "Instance is not registered any more.", "instance",
+  rst_info (RST_PLAN_LOG,
+            "Instance was unregistered; it takes no more starts.", "instance",
             id);
 }
 
-/* A planner that the store has not confirmed for a while may have a
-   successor.  The successor's token guards all instances that it has held,
-   but not those that were born since; and it waits for those that it can't
-   reach no longer than until their leases have run out. */
+/* A planner that the store has not confirmed for a while may have a successor.
+   The successor's fencing token protects the instances that it has held, but
+   not incarnations that began since.  For an instance that it can't reach, the
+   successor waits only until the lease has expired. */
 static bool
 may_be_replaced (const struct rst_planner *planner,
                  const struct instance *instance)
@@ -333,7 +348,7 @@
                                   const struct instance *instance)
 {
   return instance->registered && instance->runs_known && instance->recorded
-         && !instance->blocked && instance->agent != NULL
+         && !instance->has_unknown_run && instance->agent != NULL
          && !instance->entry.draining && !may_be_replaced (planner, instance)
          && planner->now >= instance->paused_until
          && !g_hash_table_contains (planner->evacuated_zones,
@@ -363,8 +378,8 @@
 {
   struct rst_pack pack;
 
-  rst_info (RST_PLAN_LOG, "Unknown run is stopped.", "task", listed->task,
-            "instance", instance->entry.id);
+  rst_info (RST_PLAN_LOG, "Instance lists an unknown run; the run is stopped.",
+            "task", listed->task, "instance", instance->entry.id);
   rst_pack_init (&pack, 4);
   rst_pack_int (&pack, RST_MSG_STOP);
   rst_pack_text (&pack, instance->entry.id);
@@ -373,8 +388,10 @@
   rst_plan_send (planner, instance->agent->link, &pack);
 }
 
-/* A run that this planner did not order: its predecessor's, or one that was
-   given up and was carried out late. */
+/* Adopts a run that the planner has no record of: a run that its predecessor
+   started, or a start order that was given up and carried out late.  The run
+   is stopped if its task is unknown, done or running elsewhere, or if its job
+   is not committed yet. */
 static void
 adopt_run (struct rst_planner *planner, struct instance *instance,
            const struct rst_run *listed)
@@ -383,13 +400,14 @@
   struct job *job = task != NULL ? task->step->occurrence->job : NULL;
   struct run *run;
 
-  /* A later attempt was ordered only when the one assumed had ended. */
+  /* The predecessor sent the later start order only after the attempt in the
+     journal had ended. */
   if (task != NULL && task->run != NULL && task->run->from_journal
       && task->run->attempt < listed->attempt)
     rst_plan_run_remove (planner, task->run);
   if (task == NULL || task->run != NULL || task->done || !job->stored)
     {
-      instance->blocked = true;
+      instance->has_unknown_run = true;
       stop_unknown_run (planner, instance, listed);
       return;
     }
@@ -428,8 +446,9 @@
     }
 }
 
-/* Drops the runs that the instance neither runs nor lists as ended, where
-   its word is younger than its last answer about them. */
+/* Marks as lost the runs that the instance does not list, neither as running
+   nor as ended.  Runs whose last order is unanswered, or was answered after
+   the report was made, are kept. */
 static void
 drop_unlisted_runs (struct rst_planner *planner, struct instance *instance,
                     GHashTable *listed, int64_t clock_ms)
@@ -439,10 +458,10 @@
   for (GList *item = runs; item != NULL; item = item->next)
     {
       struct run *run = item->data;
-      bool settled = run->state == RUN_RUNNING
-                     || (run->state == RUN_STOPPING && run->stop_answered);
+      bool is_answered = run->state == RUN_RUNNING
+                         || (run->state == RUN_STOPPING && run->stop_answered);
 
-      if (!settled || clock_ms <= run->clock_ms
+      if (!is_answered || clock_ms <= run->clock_ms
           || g_hash_table_contains (listed, run->name))
         continue;
       rst_plan_run_mark_lost (planner, run, "not listed");
@@ -458,7 +477,7 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   int64_t last_seen_end = instance->last_seen_end;
 
-  instance->blocked = false;
+  instance->has_unknown_run = false;
   for (uint32_t i = 0; i < runs->count; i++)
     {
       struct rst_run run = read_run (runs);
@@ -482,8 +501,10 @@
   g_hash_table_destroy (listed);
 }
 
-/* What ran in the earlier life may start elsewhere only once the new life
-   turns late orders away, and has said since what it runs. */
+/* Raises the fencing token for a new incarnation and holds the instance with
+   it.  Runs of the earlier incarnation may start elsewhere only after the new
+   one has reported under the new token, since it then rejects late orders.
+   Returns false if the token was raised before or this is the first one. */
 static bool
 raise_fencing_token (struct rst_planner *planner, struct instance *instance,
                      int64_t incarnation)
@@ -491,8 +512,8 @@
   if (instance->incarnation == 0
       || instance->fenced_incarnation == incarnation)
     return false;
-  rst_info (RST_PLAN_LOG, "Instance was born anew.", "instance",
-            instance->entry.id);
+  rst_info (RST_PLAN_LOG, "Instance restarted; its fencing token is raised.",
+            "instance", instance->entry.id);
   instance->fenced_incarnation = incarnation;
   instance->incarnation_count++;
   instance->last_acked_end = 0;
@@ -545,8 +566,9 @@
     {
       if (instance->runs_known)
         {
-          rst_info (RST_PLAN_LOG, "Instance does not answer.", "instance", id,
-                    "result", rst_result_name (result));
+          rst_info (RST_PLAN_LOG,
+                    "Instance does not answer; its lease may expire.",
+                    "instance", id, "result", rst_result_name (result));
           instance->runs_known = false;
           instance->lease_expires_at
               = planner->now + lease_left * 102 / 100 + LEASE_MARGIN_MS;
@@ -578,7 +600,8 @@
         |= ((struct instance *)value)->inherited
            && !RST_CELL_FAULT (RST_CELL_FAULT_NO_TAKEOVER_WAIT);
   if (!planner->has_inherited)
-    rst_info (RST_PLAN_LOG, "All instances of the predecessor are known.");
+    rst_info (RST_PLAN_LOG,
+              "All instances of the predecessor are accounted for.");
 }
 
 static void
@@ -643,7 +666,6 @@
   rst_plan_send (planner, instance->agent->link, &pack);
 }
 
-/* Ends that are in the store may be forgotten by the instances. */
 void
 rst_plan_send_acks (struct rst_planner *planner)
 {
--- a/src/cell/plan_jobs.c
+++ b/src/cell/plan_jobs.c
@@ -1,12 +1,13 @@
+/* Callers' requests, jobs, their occurrences and their steps. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** Seconds after which a caller that was turned away should come back. */
+/** Seconds after which a caller whose request was rejected should retry. */
 #define RETRY_AFTER_S 1
 
-/** Jobs a second that a customer may hand in beyond its share, as a burst. */
+/** Size of a customer's token bucket, in seconds of its share. */
 #define SHARE_BURST_S 2.0
 
 struct queue *
@@ -18,7 +19,7 @@
     return queue;
   queue = g_new0 (struct queue, 1);
   queue->settings.name = g_strdup (name);
-  queue->approval = 0.5;
+  queue->approval_rate = 0.5;
   g_hash_table_insert (planner->queues, queue->settings.name, queue);
   return queue;
 }
@@ -46,7 +47,7 @@
   for (int i = 0; i < desc->step_count; i++)
     {
       g_free (occurrence->steps[i].tasks);
-      g_hash_table_destroy (occurrence->steps[i].leaves);
+      g_hash_table_destroy (occurrence->steps[i].approvals);
     }
   g_free (occurrence->steps);
   g_free (occurrence);
@@ -118,7 +119,7 @@
   step->tasks_left = step->spec->count;
   step->tasks_waiting = step->spec->count;
   step->tasks = g_new0 (struct task, step->spec->count);
-  step->leaves
+  step->approvals
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   for (int i = 0; i < step->spec->count; i++)
     {
@@ -162,7 +163,7 @@
 rst_plan_enqueue_step (struct rst_planner *planner, struct step *step)
 {
   planner->changed = true;
-  /* A later record may say that the job is over. */
+  /* During the restore, a later record may say that the job has ended. */
   if (!planner->restored || step->enqueued || !step_is_ready (step))
     return;
   step->enqueued = true;
@@ -178,7 +179,6 @@
     rst_plan_enqueue_step (planner, &occurrence->steps[i]);
 }
 
-/* Begins the occurrences whose time has come. */
 void
 rst_plan_begin_due_occurrences (struct rst_planner *planner)
 {
@@ -199,6 +199,7 @@
     }
 }
 
+/* Takes a job's steps off the waiting steps and stops its runs. */
 static void
 stop_steps (struct rst_planner *planner, struct job *job)
 {
@@ -273,7 +274,7 @@
     rst_plan_end_job (planner, job, RST_JOB_COMPLETED);
 }
 
-/* A task's name is JOB.OCCURRENCE.STEP.INDEX. */
+/* The name of a task is JOB.OCCURRENCE.STEP.INDEX. */
 struct task *
 rst_plan_find_task (struct rst_planner *planner, const char *name)
 {
@@ -303,8 +304,8 @@
 }
 
 static void
-reply (struct rst_planner *planner, const struct rst_planner_call *call,
-       enum rst_outcome outcome)
+send_reply (struct rst_planner *planner, const struct rst_planner_call *call,
+            enum rst_outcome outcome)
 {
   struct rst_reply answer = { .outcome = outcome };
 
@@ -323,7 +324,6 @@
   g_array_append_val (job->pending_replies, pending_reply);
 }
 
-/* Answers those who waited for what is now in the store. */
 void
 rst_plan_reply_committed (struct rst_planner *planner, struct job *job)
 {
@@ -345,17 +345,19 @@
     }
 }
 
-/* A customer's jobs beyond its weight a second are served after the rest. */
+/* A token bucket: a customer's share is as many jobs a second as its weight.
+   Jobs over the share are accepted but placed after others. */
 static bool
 is_over_share (struct rst_planner *planner, struct customer *customer)
 {
   double weight = (double)MAX (customer->settings.weight, 1);
-  double passed = (double)(planner->now - customer->share_tokens_at) / 1000.0;
+  double elapsed_s
+      = (double)(planner->now - customer->share_tokens_at) / 1000.0;
 
   if (customer->share_tokens_at == 0)
     customer->share_tokens = weight * SHARE_BURST_S;
   else
-    customer->share_tokens = MIN (customer->share_tokens + passed * weight,
+    customer->share_tokens = MIN (customer->share_tokens + elapsed_s * weight,
                                   weight * SHARE_BURST_S);
   customer->share_tokens_at = planner->now;
   if (customer->share_tokens < 1.0)
@@ -382,7 +384,7 @@
     {
       rst_jobdesc_destroy (call->desc);
       if (job->stored)
-        reply (planner, call, RST_OUTCOME_OK);
+        send_reply (planner, call, RST_OUTCOME_OK);
       else
         reply_after_commit (job, call);
       return;
@@ -392,14 +394,14 @@
                           call->desc);
   job->over_share = is_over_share (planner, customer);
   if (RST_CELL_FAULT (RST_CELL_FAULT_EARLY_ACCEPT))
-    reply (planner, call, RST_OUTCOME_OK);
+    send_reply (planner, call, RST_OUTCOME_OK);
   else
     reply_after_commit (job, call);
   rst_plan_mark_dirty (planner, job);
   if (job->desc->repeats == 0)
     rst_plan_enqueue_steps (planner, rst_plan_occurrence_new (job, 0));
   planner->stats.accepted++;
-  rst_info (RST_PLAN_LOG, "Job handed in.", "job", id, "queue", route->name,
+  rst_info (RST_PLAN_LOG, "Job submitted.", "job", id, "queue", route->name,
             "customer", customer->settings.name);
 }
 
@@ -436,17 +438,19 @@
 
   if (job == NULL)
     {
-      reply (planner, call, RST_OUTCOME_NO_JOB);
+      send_reply (planner, call, RST_OUTCOME_NO_JOB);
       return;
     }
   rst_plan_end_job (planner, job, RST_JOB_CANCELLED);
   if (job->committed_state == job->state)
-    reply (planner, call, RST_OUTCOME_OK);
+    send_reply (planner, call, RST_OUTCOME_OK);
   else
     reply_after_commit (job, call);
 }
 
-/* Jobs of an open queue belong to a customer without a name. */
+/* Finds the customer that a key belongs to.  Requests without a known key to a
+   public queue belong to a customer without a name; elsewhere NULL is
+   returned. */
 static struct customer *
 find_customer (struct rst_planner *planner, const struct rst_queue *route,
                const char *key)
@@ -471,11 +475,11 @@
 
   planner->changed = true;
   if (route == NULL)
-    reply (planner, call, RST_OUTCOME_NO_QUEUE);
+    send_reply (planner, call, RST_OUTCOME_NO_QUEUE);
   else if (customer == NULL)
-    reply (planner, call, RST_OUTCOME_INVALID_KEY);
+    send_reply (planner, call, RST_OUTCOME_INVALID_KEY);
   else if (id[0] != '\0' && !is_job_id (id))
-    reply (planner, call, RST_OUTCOME_MALFORMED);
+    send_reply (planner, call, RST_OUTCOME_MALFORMED);
   else if (call->operation == RST_OPERATION_READ)
     reply_with_state (planner, call, rst_plan_get_queue (planner, route->name),
                       id);
@@ -487,6 +491,6 @@
       return;
     }
   else
-    reply (planner, call, RST_OUTCOME_MALFORMED);
+    send_reply (planner, call, RST_OUTCOME_MALFORMED);
   rst_jobdesc_destroy (call->desc);
 }
--- a/src/cell/plan_place.c
+++ b/src/cell/plan_place.c
@@ -1,16 +1,23 @@
+/* Placement of waiting tasks on instances.
+
+   Each pass sorts the waiting steps by rank and places their tasks in that
+   order, each on the instance with the best score.  A gang is placed as a
+   whole or not at all; gangs of high rank reserve the room that is free. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "cell/planner_private.h"
 
-/** Gangs that may keep room free for themselves at once. */
+/** Number of gangs that may reserve room in one pass. */
 #define RESERVING_GANGS_MAX 3
 
-/** A job is given up as late after this multiple of its objective. */
+/** After this multiple of its objective a job is ranked last. */
 #define MISSED_OBJECTIVE_FACTOR 3
 
-/* Rank bands: what may still earn its full worth, what is late, what is
-   beyond the customer's share, what can't earn any more. */
+/* Ranks lie in bands, placed in this order: steps that can still meet their
+   objective, late steps, steps of jobs over their customer's share, and steps
+   that have missed their objective by so much that their jobs have no value
+   any more.  The first two bands are split by the queue's priority. */
 #define RANK_BAND_LATE ((int64_t)1 << 50)
 #define RANK_BAND_OVER_SHARE ((int64_t)1 << 51)
 #define RANK_BAND_MISSED ((int64_t)1 << 52)
@@ -20,25 +27,24 @@
 rst_plan_count_slots (const struct instance *instance, const struct step *step)
 {
   struct rst_resources need = rst_step_get_task_need (step->spec);
-  struct rst_resources left = instance->entry.capacity;
+  struct rst_resources available = instance->entry.capacity;
   int64_t slots = step->spec->count;
 
   if (RST_CELL_FAULT (RST_CELL_FAULT_IGNORE_CAPACITY))
     return (int)slots;
-  rst_resources_add (&left, &instance->used, -1);
-  rst_resources_add (&left, &instance->reserved, -1);
+  rst_resources_add (&available, &instance->used, -1);
+  rst_resources_add (&available, &instance->reserved, -1);
   if (need.cpu > 0)
-    slots = MIN (slots, left.cpu / need.cpu);
+    slots = MIN (slots, available.cpu / need.cpu);
   if (need.memory > 0)
-    slots = MIN (slots, left.memory / need.memory);
+    slots = MIN (slots, available.memory / need.memory);
   if (need.gpu > 0)
-    slots = MIN (slots, left.gpu / need.gpu);
+    slots = MIN (slots, available.gpu / need.gpu);
   if (step->spec->max_per_instance > 0)
     slots = MIN (slots, step->spec->max_per_instance);
   return (int)MAX (slots, 0);
 }
 
-/* Tasks of the step that an instance runs already. */
 static int
 count_tasks_on (const struct instance *instance, const struct step *step)
 {
@@ -59,8 +65,6 @@
          || count_tasks_on (instance, step) < step->spec->max_per_instance;
 }
 
-/* Whether a step's tasks may run there at all, room aside.  The instance is
-   one that takes starts. */
 bool
 rst_plan_instance_is_eligible (const struct instance *instance,
                                const struct step *step)
@@ -74,32 +78,35 @@
          || rst_instance_entry_has_label (&instance->entry, step->spec->label);
 }
 
-/* Estimates are rough; the queue's own run times say as much. */
+/* Since estimates are rough, the mean run time of the queue's tasks counts as
+   much as the estimate. */
 static double
-expected_run_ms (const struct job *job, int index)
+get_expected_run_ms (const struct job *job, int index)
 {
-  double said = (double)job->desc->steps[index].estimate_ms;
+  double estimate_ms = (double)job->desc->steps[index].estimate_ms;
 
-  return job->queue->mean_run_ms > 0.0 ? (said + job->queue->mean_run_ms) / 2.0
-                                       : said;
+  return job->queue->mean_run_ms > 0.0
+             ? (estimate_ms + job->queue->mean_run_ms) / 2.0
+             : estimate_ms;
 }
 
-/* Time that a step and those behind it still take at the least. */
+/* Returns the expected run time of a step and of those that follow it. */
 static double
-remaining_path_ms (const struct step *step)
+get_remaining_path_ms (const struct step *step)
 {
   const struct job *job = step->occurrence->job;
-  double longest = expected_run_ms (job, step->index);
+  double longest = get_expected_run_ms (job, step->index);
 
   for (int i = step->index + 1; i < job->desc->step_count; i++)
     for (int k = 0; k < job->desc->steps[i].after_count; k++)
       if (job->desc->steps[i].after[k] >= step->index)
-        longest += expected_run_ms (job, i);
+        longest += get_expected_run_ms (job, i);
   return longest;
 }
 
+/* Returns the expected run time of the job's longest chain of steps. */
 static double
-critical_path_ms (const struct job *job)
+get_critical_path_ms (const struct job *job)
 {
   double ends[RST_STEPS_MAX] = { 0 };
   double longest = 0.0;
@@ -110,13 +117,12 @@
 
       for (int k = 0; k < step->after_count; k++)
         ends[i] = MAX (ends[i], ends[step->after[k]]);
-      ends[i] += expected_run_ms (job, i);
+      ends[i] += get_expected_run_ms (job, i);
       longest = MAX (longest, ends[i]);
     }
   return longest;
 }
 
-/* Sets when a step has to start for its job to be on time. */
 void
 rst_plan_set_objective (struct step *step)
 {
@@ -124,16 +130,16 @@
   const struct rst_queue *queue = &job->queue->settings;
 
   step->objective_ms
-      = (int64_t)(critical_path_ms (job) * (double)queue->slack / 1000.0)
+      = (int64_t)(get_critical_path_ms (job) * (double)queue->slack / 1000.0)
         + queue->target_ms;
   step->start_by_ms = step->occurrence->due_ms + step->objective_ms
-                      - (int64_t)remaining_path_ms (step);
+                      - (int64_t)get_remaining_path_ms (step);
 }
 
-/* What can still be on time comes first, by priority and the latest moment
-   at which it has to start; what is late follows. */
+/* Within a band, steps are ranked by the time by which they have to start to
+   meet the objective.  Long-running steps come before all others. */
 static int64_t
-rank (const struct rst_planner *planner, const struct step *step)
+compute_rank (const struct rst_planner *planner, const struct step *step)
 {
   const struct job *job = step->occurrence->job;
   const struct rst_queue *queue = &job->queue->settings;
@@ -164,27 +170,31 @@
   return left->rank < right->rank ? -1 : left->rank > right->rank;
 }
 
-/* Any number, the same for the same two. */
+/* Returns the same score for the same instance and task, so that replays are
+   repeatable. */
 static double
-pseudo_random_score (const struct instance *instance, const struct task *task)
+score_pseudo_randomly (const struct instance *instance,
+                       const struct task *task)
 {
-  guint mixed = g_str_hash (instance->entry.id) * 2654435761u
-                ^ (guint)(task->index * 40503 + task->step->rank);
+  guint hash = g_str_hash (instance->entry.id) * 2654435761u
+               ^ (guint)(task->index * 40503 + task->step->rank);
 
-  return (double)(mixed % 65536);
+  return (double)(hash % 65536);
 }
 
-/* Lower is better: the tightest fit that suits the step. */
+/* Lower is better.  Scores the share of the instance's processors that are
+   left free, and penalties for an instance where the task or other tasks
+   failed and for one that is not in the rack of the step's data. */
 static double
-best_fit_score (const struct instance *instance, const struct step *step,
+score_best_fit (const struct instance *instance, const struct step *step,
                 const struct task *task)
 {
-  double left = (double)(instance->entry.capacity.cpu - instance->used.cpu
-                         - step->spec->need.cpu)
-                / (double)MAX (instance->entry.capacity.cpu, 1);
-  double total = left;
+  double free_share = (double)(instance->entry.capacity.cpu
+                               - instance->used.cpu - step->spec->need.cpu)
+                      / (double)MAX (instance->entry.capacity.cpu, 1);
+  double total = free_share;
 
-  if (task != NULL && task->bad == instance)
+  if (task != NULL && task->avoided_instance == instance)
     total += 4.0;
   total += 0.5 * MIN (instance->failures, 4);
   if (step->spec->rack[0] != '\0'
@@ -194,22 +204,24 @@
 }
 
 static double
-fit_score (const struct rst_planner *planner, const struct instance *instance,
-           const struct step *step, const struct task *task)
+score_instance (const struct rst_planner *planner,
+                const struct instance *instance, const struct step *step,
+                const struct task *task)
 {
   switch (planner->fit)
     {
     case RST_FIT_FIRST:
       return (double)instance->pass_index;
     case RST_FIT_RANDOM:
-      return pseudo_random_score (instance, task);
+      return score_pseudo_randomly (instance, task);
     default:
-      return best_fit_score (instance, step, task);
+      return score_best_fit (instance, step, task);
     }
 }
 
-/* Instances that the step may use as far as advice goes.  An advised step
-   names few, so that a long queue costs little. */
+/* Finds the schedulable instances that a step may use.  If the step needs
+   approval, only its approvals are looked at; they are few, so that a pass
+   over many waiting steps stays cheap. */
 static const GPtrArray *
 find_candidates (struct rst_planner *planner, const struct step *step)
 {
@@ -217,14 +229,14 @@
   gpointer id;
 
   if (!step->occurrence->job->queue->settings.needs_approval)
-    return planner->usable;
+    return planner->schedulable_instances;
   g_ptr_array_set_size (planner->candidates, 0);
-  g_hash_table_iter_init (&iter, step->leaves);
+  g_hash_table_iter_init (&iter, step->approvals);
   while (g_hash_table_iter_next (&iter, &id, NULL))
     {
       struct instance *instance = g_hash_table_lookup (planner->instances, id);
 
-      if (instance != NULL && instance->usable
+      if (instance != NULL && instance->schedulable
           && rst_plan_find_ticket (planner, step, instance) != NULL)
         g_ptr_array_add (planner->candidates, instance);
     }
@@ -241,16 +253,16 @@
   for (guint i = 0; i < candidates->len; i++)
     {
       struct instance *instance = g_ptr_array_index (candidates, i);
-      double now;
+      double score;
 
       if (!rst_plan_task_fits (instance, step)
           || !rst_plan_instance_is_eligible (instance, step))
         continue;
-      now = fit_score (planner, instance, step, task);
-      if (best == NULL || now < best_score)
+      score = score_instance (planner, instance, step, task);
+      if (best == NULL || score < best_score)
         {
           best = instance;
-          best_score = now;
+          best_score = score;
         }
     }
   return best;
@@ -263,12 +275,12 @@
          && !(task->in_doubt && planner->has_inherited);
 }
 
-/* Returns how many tasks found no place. */
+/* Returns the number of tasks for which there was no instance. */
 static int
 place_tasks (struct rst_planner *planner, struct step *step)
 {
   const GPtrArray *candidates = find_candidates (planner, step);
-  int left = 0;
+  int unplaced = 0;
 
   for (int i = 0; i < step->spec->count; i++)
     {
@@ -279,24 +291,27 @@
         continue;
       if (!rst_plan_is_below_limit (step, 1))
         return 0;
-      instance = left == 0 ? choose_instance (planner, candidates, step, task)
-                           : NULL;
+      instance = unplaced == 0
+                     ? choose_instance (planner, candidates, step, task)
+                     : NULL;
       if (instance == NULL)
-        left++;
+        unplaced++;
       else
         rst_plan_start_task (planner, task, instance, task->attempt + 1,
                              rst_plan_find_ticket (planner, step, instance));
     }
-  return left;
+  return unplaced;
 }
 
+/** struct instance_slots - Number of a gang's tasks that fit an instance. */
 struct instance_slots
 {
   struct instance *instance;
   int slots;
 };
 
-/* Instances with leave for the step and their free places. */
+/* Finds the instances that a gang may use and how many of its tasks fit each
+   of them. */
 static GArray *
 find_gang_slots (struct rst_planner *planner, const struct step *step,
                  int *total)
@@ -308,16 +323,15 @@
   *total = 0;
   for (guint i = 0; i < candidates->len; i++)
     {
-      struct instance_slots instance_slots
+      struct instance_slots candidate
           = { g_ptr_array_index (candidates, i), 0 };
 
-      instance_slots.slots
-          = rst_plan_count_slots (instance_slots.instance, step);
-      if (instance_slots.slots == 0
-          || !rst_plan_instance_is_eligible (instance_slots.instance, step))
+      candidate.slots = rst_plan_count_slots (candidate.instance, step);
+      if (candidate.slots == 0
+          || !rst_plan_instance_is_eligible (candidate.instance, step))
         continue;
-      *total += instance_slots.slots;
-      g_array_append_val (gang_slots, instance_slots);
+      *total += candidate.slots;
+      g_array_append_val (gang_slots, candidate);
     }
   return gang_slots;
 }
@@ -355,15 +369,14 @@
   step->gang_attempt = attempt + 1;
   for (guint i = 0; i < gang_slots->len && next < step->spec->count; i++)
     {
-      struct instance_slots instance_slots
+      struct instance_slots candidate
           = g_array_index (gang_slots, struct instance_slots, i);
 
-      for (int k = 0; k < instance_slots.slots && next < step->spec->count;
-           k++)
+      for (int k = 0; k < candidate.slots && next < step->spec->count; k++)
         rst_plan_start_task (
-            planner, &step->tasks[next++], instance_slots.instance,
+            planner, &step->tasks[next++], candidate.instance,
             step->gang_attempt,
-            rst_plan_find_ticket (planner, step, instance_slots.instance));
+            rst_plan_find_ticket (planner, step, candidate.instance));
     }
 }
 
@@ -376,23 +389,24 @@
   rst_resources_add (&instance->reserved, &need, slots);
 }
 
-/* Holds free room back for a gang that comes next but doesn't fit yet. */
+/* Reserves free room for a gang that does not fit as a whole yet. */
 static void
 reserve_for_gang (struct rst_planner *planner, const struct step *step)
 {
   const struct queue *queue = step->occurrence->job->queue;
   int wanted = step->spec->count;
 
-  for (guint i = 0; wanted > 0 && i < planner->usable->len; i++)
+  for (guint i = 0; wanted > 0 && i < planner->schedulable_instances->len; i++)
     {
-      struct instance *instance = g_ptr_array_index (planner->usable, i);
-      struct leave *leave
-          = g_hash_table_lookup (step->leaves, instance->entry.id);
+      struct instance *instance
+          = g_ptr_array_index (planner->schedulable_instances, i);
+      struct approval *approval
+          = g_hash_table_lookup (step->approvals, instance->entry.id);
       int slots;
 
       if (!rst_plan_instance_is_eligible (instance, step)
           || (queue->settings.needs_approval
-              && (leave == NULL || leave->rejected)))
+              && (approval == NULL || approval->rejected)))
         continue;
       slots = MIN (rst_plan_count_slots (instance, step), wanted);
       wanted -= slots;
@@ -400,14 +414,14 @@
     }
 }
 
-/* Returns how many tasks found no place: all or none. */
+/* Returns the number of tasks for which there was no room: all or none. */
 static int
 place_gang (struct rst_planner *planner, struct step *step,
             int *reserving_gangs)
 {
   GArray *gang_slots;
   int total;
-  int left = 0;
+  int unplaced = 0;
 
   if (!gang_may_start (planner, step)
       || !rst_plan_is_below_limit (step, step->spec->count))
@@ -420,7 +434,7 @@
     }
   else
     {
-      left = step->spec->count;
+      unplaced = step->spec->count;
       if (*reserving_gangs < RESERVING_GANGS_MAX
           && step->rank < RANK_BAND_LATE)
         {
@@ -429,10 +443,10 @@
         }
     }
   g_array_free (gang_slots, TRUE);
-  return left;
+  return unplaced;
 }
 
-/* Lists the instances that take starts, with nothing kept on them. */
+/* Lists the schedulable instances and clears all reservations. */
 static void
 begin_pass (struct rst_planner *planner)
 {
@@ -440,7 +454,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_ptr_array_set_size (planner->usable, 0);
+  g_ptr_array_set_size (planner->schedulable_instances, 0);
   g_array_set_size (planner->unmet_needs, 0);
   g_hash_table_iter_init (&iter, planner->instances);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -448,14 +462,16 @@
       struct instance *instance = value;
 
       instance->reserved = none;
-      instance->usable = rst_plan_instance_is_schedulable (planner, instance);
-      instance->pass_index = planner->usable->len;
-      if (instance->usable)
-        g_ptr_array_add (planner->usable, instance);
+      instance->schedulable
+          = rst_plan_instance_is_schedulable (planner, instance);
+      instance->pass_index = planner->schedulable_instances->len;
+      if (instance->schedulable)
+        g_ptr_array_add (planner->schedulable_instances, instance);
     }
 }
 
-/* Whether as small a need found no room earlier in this pass. */
+/* Whether no instance had room for the same or a smaller need earlier in this
+   pass. */
 static bool
 is_known_unplaceable (const struct rst_planner *planner,
                       const struct step *step)
@@ -464,11 +480,11 @@
 
   for (guint i = 0; i < planner->unmet_needs->len; i++)
     {
-      const struct rst_resources *unmet_needs
+      const struct rst_resources *unmet
           = &g_array_index (planner->unmet_needs, struct rst_resources, i);
 
-      if (need->cpu >= unmet_needs->cpu && need->memory >= unmet_needs->memory
-          && need->gpu >= unmet_needs->gpu)
+      if (need->cpu >= unmet->cpu && need->memory >= unmet->memory
+          && need->gpu >= unmet->gpu)
         return true;
     }
   return false;
@@ -481,8 +497,9 @@
     return true;
   if (is_known_unplaceable (planner, step))
     return false;
-  for (guint i = 0; i < planner->usable->len; i++)
-    if (rst_plan_count_slots (g_ptr_array_index (planner->usable, i), step)
+  for (guint i = 0; i < planner->schedulable_instances->len; i++)
+    if (rst_plan_count_slots (
+            g_ptr_array_index (planner->schedulable_instances, i), step)
         > 0)
       return true;
   if (step->spec->max_per_instance == 0)
@@ -497,23 +514,24 @@
   const struct job *job = step->occurrence->job;
   bool is_first_gang_request = step->spec->gang && !step->advice_requested
                                && job->queue->settings.needs_approval;
-  int left;
+  int unplaced;
 
   if (!is_first_gang_request && !has_room_for_step (planner, step))
     return;
-  /* While the job is being stored, advice can be on its way. */
+  /* Nothing starts before the job is committed, but advice may already be
+     requested. */
   if (!job->stored)
-    left = step->advice_requested ? 0 : step->tasks_waiting;
+    unplaced = step->advice_requested ? 0 : step->tasks_waiting;
   else if (step->spec->gang)
-    left = place_gang (planner, step, reserving_gangs);
+    unplaced = place_gang (planner, step, reserving_gangs);
   else
-    left = place_tasks (planner, step);
-  if (left == 0 || !job->queue->settings.needs_approval)
+    unplaced = place_tasks (planner, step);
+  if (unplaced == 0 || !job->queue->settings.needs_approval)
     return;
-  if (step->ask != NULL)
-    rst_plan_reserve_requested (planner, step, left);
+  if (step->advice_request != NULL)
+    rst_plan_reserve_requested (planner, step, unplaced);
   else
-    rst_plan_request_advice (planner, step, left);
+    rst_plan_request_advice (planner, step, unplaced);
 }
 
 void
@@ -525,7 +543,7 @@
     {
       struct step *step = g_ptr_array_index (planner->waiting_steps, i);
 
-      step->rank = rank (planner, step);
+      step->rank = compute_rank (planner, step);
       if (step->tasks_waiting > 0)
         continue;
       step->enqueued = false;
