--- a/src/cell/agent.c
+++ b/src/cell/agent.c
@@ -4,7 +4,7 @@
 
 #include "util/log.h"
 
-#define LOG_PREFIX "agent"
+#define LOG_DOMAIN "agent"
 
 /** Longest time that a poll waits for a run to end, in milliseconds. */
 #define POLL_WAIT_MAX_MS 2000
@@ -415,7 +415,7 @@
   struct order *order = userdata;
 
   if (answer->result != RST_RESULT_OK)
-    rst_info (LOG_PREFIX, "Order to change the pace of a run failed.", "task",
+    rst_info (LOG_DOMAIN, "Order to change the pace of a run failed.", "task",
               order->task, "instance", order->id, "result",
               rst_result_name (answer->result));
   rst_instance_answer_free (answer);
@@ -535,7 +535,7 @@
       request_advice (agent, reader);
       break;
     default:
-      rst_warning (LOG_PREFIX, "Unknown kind of message; it is ignored.");
+      rst_warning (LOG_DOMAIN, "Unknown kind of message; it is ignored.");
       break;
     }
 }
--- a/src/cell/planner_client.c
+++ b/src/cell/planner_client.c
@@ -5,7 +5,7 @@
 
 #include "util/log.h"
 
-#define LOG_PREFIX "seeker"
+#define LOG_DOMAIN "seeker"
 
 /** Time between two reads of the planner record, in milliseconds. */
 #define READ_INTERVAL_MS 150
@@ -188,7 +188,7 @@
   client->closed_by_peer
       = now - client->connect_started_at < TAKEOVER_AFTER_CLOSE_MS
         || now - client->confirmed_at < TAKEOVER_AFTER_SILENCE_MS;
-  rst_info (LOG_PREFIX, "Link to the planner is closed.", "address",
+  rst_info (LOG_DOMAIN, "Link to the planner is closed.", "address",
             client->address, "how",
             client->closed_by_peer ? "closed" : "silent");
   clear_link (client);
@@ -226,7 +226,7 @@
 
   if (!rst_reader_open (&reader, &unpacked, data, length))
     {
-      rst_warning (LOG_PREFIX, "Frame is malformed; the link is closed.");
+      rst_warning (LOG_DOMAIN, "Frame is malformed; the link is closed.");
       close_link (client);
       goto out;
     }
@@ -285,7 +285,7 @@
 
   if (item != NULL
       && !rst_planner_record_read (&record, item->value, item->length))
-    rst_warning (LOG_PREFIX, "Planner record is malformed.");
+    rst_warning (LOG_DOMAIN, "Planner record is malformed.");
   resigned = record.address[0] == '\0';
   if (revision != client->revision || client->record_changed_at == 0)
     {
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -48,8 +48,8 @@
  * @noun: First word.
  * @verb: Second word, or "" when there is none.
  * @arguments: Shown by --help.
- * @least: Least number of further words.
- * @most: Largest number of further words.
+ * @min_operands: Least number of further words.
+ * @max_operands: Largest number of further words.
  * @help: One line for --help.
  * @run: Does it.
  */
@@ -58,8 +58,8 @@
   const char *noun;
   const char *verb;
   const char *arguments;
-  int least;
-  int most;
+  int min_operands;
+  int max_operands;
   const char *help;
   int (*run) (const struct cli_args *args);
 };
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -18,7 +18,7 @@
 #define STORE_VARIABLE "ROSEMARYSTILE_STORE"
 
 /** Most words of a command. */
-#define WORDS_MAX 8
+#define COMMAND_WORDS_MAX 8
 
 static void
 print_help (void **table)
@@ -42,7 +42,7 @@
 }
 
 static const struct cli_command *
-find_command (const char **words, int count, int *used)
+find_command (const char **words, int count, int *words_used)
 {
   const struct cli_command *command;
 
@@ -52,12 +52,12 @@
         continue;
       if (command->verb[0] == '\0')
         {
-          *used = 1;
+          *words_used = 1;
           return command;
         }
       if (count >= 2 && strcmp (command->verb, words[1]) == 0)
         {
-          *used = 2;
+          *words_used = 2;
           return command;
         }
     }
@@ -87,23 +87,24 @@
 static int
 run_command (const char **words, int count, struct cli_args *args)
 {
-  int used = 0;
-  const struct cli_command *command = find_command (words, count, &used);
+  int words_used = 0;
+  const struct cli_command *command = find_command (words, count, &words_used);
 
   if (command == NULL)
     {
       fprintf (stderr, PROGRAM ": no such command; see --help\n");
       return CLI_USAGE;
     }
-  args->words = words + used;
-  args->count = count - used;
-  if (args->count < command->least || args->count > command->most)
+  args->words = words + words_used;
+  args->count = count - words_used;
+  if (args->count < command->min_operands
+      || args->count > command->max_operands)
     {
       fprintf (stderr, "Usage: " PROGRAM " %s %s %s\n", command->noun,
                command->verb, command->arguments);
       return CLI_USAGE;
     }
-  if (args->store == NULL || !rst_conf_valid_address (args->store))
+  if (args->store == NULL || !rst_conf_is_address (args->store))
     {
       fprintf (stderr, PROGRAM ": --store: must be an address IP:PORT\n");
       return CLI_USAGE;
@@ -128,7 +129,7 @@
   struct arg_str *running = arg_str0 (NULL, "running", "finish|move",
                                       "what becomes of running work");
   struct arg_str *words
-      = arg_strn (NULL, NULL, "COMMAND", 0, WORDS_MAX, "see above");
+      = arg_strn (NULL, NULL, "COMMAND", 0, COMMAND_WORDS_MAX, "see above");
   struct arg_end *end = arg_end (4);
   void *table[] = { help,  version, store,   timeout, share,
                     limit, id,      running, words,   end };
--- a/src/cli/report.c
+++ b/src/cli/report.c
@@ -9,8 +9,8 @@
 #include "transport/transport.h"
 
 /* Receives the status page of one scheduler, or NULL when it is silent. */
-typedef void (*visit_status) (const struct rst_member *member,
-                              struct json_object *status, void *data);
+typedef void (*status_visitor) (const struct rst_member *member,
+                                struct json_object *status, void *data);
 
 static struct json_object *
 fetch_status (const struct cli_args *args, const char *address)
@@ -20,7 +20,8 @@
   struct json_object *root = NULL;
   int status;
 
-  if (rst_http_sync ("GET", url, NULL, args->timeout_ms, &status, answer)
+  if (rst_http_sync_request ("GET", url, NULL, args->timeout_ms, &status,
+                             answer)
           == RST_TRANSPORT_OK
       && status == 200)
     root = rst_json_parse (answer->str);
@@ -31,7 +32,7 @@
 
 static void
 visit_members (const struct cli_args *args, const struct rst_zone *zone,
-               visit_status visit, void *data)
+               status_visitor visit, void *data)
 {
   for (int i = 0; i < zone->member_count; i++)
     {
@@ -44,7 +45,7 @@
 }
 
 static int
-visit_all (const struct cli_args *args, visit_status visit, void *data)
+visit_all (const struct cli_args *args, status_visitor visit, void *data)
 {
   struct json_object *items;
   int result = cli_store_list (args, RST_KEY_ZONE_RECORDS, &items);
@@ -56,7 +57,8 @@
       struct json_object *item = json_object_array_get_idx (items, i);
       struct rst_zone *zone;
 
-      if (rst_zone_parse (rst_json_text (item, "value"), 0, &zone) != RST_OK)
+      if (rst_zone_parse (rst_json_get_text (item, "value"), 0, &zone)
+          != RST_OK)
         continue;
       visit_members (args, zone, visit, data);
       rst_zone_destroy (zone);
@@ -68,25 +70,25 @@
 static void
 print_problems (struct json_object *status)
 {
-  struct json_object *branches = rst_json_array (status, "branches");
+  struct json_object *branches = rst_json_get_array (status, "branches");
 
   for (size_t i = 0;
        branches != NULL && i < json_object_array_length (branches); i++)
     {
       struct json_object *branch = json_object_array_get_idx (branches, i);
-      const char *problem = rst_json_text (branch, "problem");
+      const char *problem = rst_json_get_text (branch, "problem");
 
       if (problem != NULL)
         printf ("  refused %s revision %" G_GINT64_FORMAT ": %s\n",
-                rst_json_text (branch, "key"),
-                rst_json_number (branch, "refused_revision", 0), problem);
+                rst_json_get_text (branch, "key"),
+                rst_json_get_number (branch, "refused_revision", 0), problem);
     }
 }
 
 static void
 print_entries (struct json_object *status)
 {
-  struct json_object *entries = rst_json_array (status, "entries");
+  struct json_object *entries = rst_json_get_array (status, "entries");
 
   for (size_t i = 0; entries != NULL && i < json_object_array_length (entries);
        i++)
@@ -94,10 +96,11 @@
       struct json_object *entry = json_object_array_get_idx (entries, i);
 
       printf ("  entry %-16s %-22s newest %-8" G_GINT64_FORMAT " %s\n",
-              rst_json_text (entry, "name"), rst_json_text (entry, "address"),
-              rst_json_number (entry, "newest", 0),
-              rst_json_bool (entry, "same_settings", false) ? "same"
-                                                            : "differs");
+              rst_json_get_text (entry, "name"),
+              rst_json_get_text (entry, "address"),
+              rst_json_get_number (entry, "newest", 0),
+              rst_json_get_bool (entry, "same_settings", false) ? "same"
+                                                                : "differs");
     }
 }
 
@@ -105,8 +108,9 @@
 print_status (const struct rst_member *member, struct json_object *status,
               void *data)
 {
-  struct json_object *instances = rst_json_array (status, "instances");
-  const char *lacking = rst_json_text (status, "promise_missing_from");
+  struct json_object *instances = rst_json_get_array (status, "instances");
+  const char *missing_from
+      = rst_json_get_text (status, "promise_missing_from");
 
   (void)data;
   if (status == NULL)
@@ -116,12 +120,13 @@
       return;
     }
   printf ("%-32s zone %-8s %-9s newest %-8" G_GINT64_FORMAT " instances %zu\n",
-          member->incarnation, rst_json_text (status, "availability_zone"),
-          rst_json_bool (status, "ready", false) ? "ready" : "not ready",
-          rst_json_number (status, "newest", 0),
+          member->incarnation, rst_json_get_text (status, "availability_zone"),
+          rst_json_get_bool (status, "ready", false) ? "ready" : "not ready",
+          rst_json_get_number (status, "newest", 0),
           instances != NULL ? json_object_array_length (instances) : 0);
-  if (!rst_json_bool (status, "tenure_held", false) && lacking != NULL)
-    printf ("  promise missing from %s\n", lacking);
+  if (!rst_json_get_bool (status, "tenure_held", false)
+      && missing_from != NULL)
+    printf ("  promise missing from %s\n", missing_from);
   print_problems (status);
   print_entries (status);
 }
@@ -132,7 +137,7 @@
   return visit_all (args, print_status, NULL);
 }
 
-struct team_sum
+struct team_usage
 {
   int64_t running;
   int64_t waiting;
@@ -140,101 +145,101 @@
 };
 
 static void
-add_teams (const struct rst_member *member, struct json_object *status,
-           void *data)
+add_team_usage (const struct rst_member *member, struct json_object *status,
+                void *data)
 {
-  struct json_object *teams = rst_json_array (status, "teams");
-  GHashTable *sums = data;
+  struct json_object *teams = rst_json_get_array (status, "teams");
+  GHashTable *usage_by_team = data;
 
   (void)member;
   for (size_t i = 0; teams != NULL && i < json_object_array_length (teams);
        i++)
     {
       struct json_object *team = json_object_array_get_idx (teams, i);
-      const char *name = rst_json_text (team, "name");
-      struct team_sum *sum = g_hash_table_lookup (sums, name);
+      const char *name = rst_json_get_text (team, "name");
+      struct team_usage *usage = g_hash_table_lookup (usage_by_team, name);
 
-      if (sum == NULL)
+      if (usage == NULL)
         {
-          sum = g_new0 (struct team_sum, 1);
-          g_hash_table_insert (sums, g_strdup (name), sum);
+          usage = g_new0 (struct team_usage, 1);
+          g_hash_table_insert (usage_by_team, g_strdup (name), usage);
         }
-      sum->running += rst_json_number (team, "running", 0);
-      sum->waiting += rst_json_number (team, "waiting", 0);
-      sum->part += rst_json_number (team, "part", 0);
+      usage->running += rst_json_get_number (team, "running", 0);
+      usage->waiting += rst_json_get_number (team, "waiting", 0);
+      usage->part += rst_json_get_number (team, "part", 0);
     }
 }
 
 int
 cli_teams (const struct cli_args *args)
 {
-  GHashTable *sums
+  GHashTable *usage_by_team
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  int result = visit_all (args, add_teams, sums);
+  int result = visit_all (args, add_team_usage, usage_by_team);
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
 
   printf ("%-24s %9s %9s %14s\n", "TEAM", "RUNNING", "WAITING",
           "PARTS OF LIMIT");
-  g_hash_table_iter_init (&iterator, sums);
+  g_hash_table_iter_init (&iterator, usage_by_team);
   while (g_hash_table_iter_next (&iterator, &name, &value))
     {
-      const struct team_sum *sum = value;
+      const struct team_usage *usage = value;
 
       printf ("%-24s %9" G_GINT64_FORMAT " %9" G_GINT64_FORMAT
               " %14" G_GINT64_FORMAT "\n",
-              (const char *)name, sum->running, sum->waiting, sum->part);
+              (const char *)name, usage->running, usage->waiting, usage->part);
     }
-  g_hash_table_destroy (sums);
+  g_hash_table_destroy (usage_by_team);
   return result;
 }
 
-struct why
+struct job_search
 {
   const char *name;
   bool found;
 };
 
 static void
-explain (const struct rst_member *member, struct json_object *status,
-         void *data)
+print_job (const struct rst_member *member, struct json_object *status,
+           void *data)
 {
-  struct json_object *jobs = rst_json_array (status, "jobs");
-  struct why *why = data;
+  struct json_object *jobs = rst_json_get_array (status, "jobs");
+  struct job_search *job_search = data;
 
   for (size_t i = 0; jobs != NULL && i < json_object_array_length (jobs); i++)
     {
       struct json_object *job = json_object_array_get_idx (jobs, i);
 
-      if (g_strcmp0 (rst_json_text (job, "name"), why->name) != 0)
+      if (g_strcmp0 (rst_json_get_text (job, "name"), job_search->name) != 0)
         continue;
-      why->found = true;
-      printf ("job %s, followed by %s, is %s\n", why->name,
-              member->incarnation, rst_json_text (job, "state"));
+      job_search->found = true;
+      printf ("job %s, followed by %s, is %s\n", job_search->name,
+              member->incarnation, rst_json_get_text (job, "state"));
       printf ("  tasks %" G_GINT64_FORMAT ": running %" G_GINT64_FORMAT
               ", waiting %" G_GINT64_FORMAT ", asked for %" G_GINT64_FORMAT
               ", held %" G_GINT64_FORMAT ", looked for %" G_GINT64_FORMAT "\n",
-              rst_json_number (job, "tasks", 0),
-              rst_json_number (job, "running", 0),
-              rst_json_number (job, "waiting", 0),
-              rst_json_number (job, "asked", 0),
-              rst_json_number (job, "held", 0),
-              rst_json_number (job, "looked_for", 0));
-      if (rst_json_text (job, "waiting_for")[0] != '\0')
-        printf ("  waits for: %s\n", rst_json_text (job, "waiting_for"));
+              rst_json_get_number (job, "tasks", 0),
+              rst_json_get_number (job, "running", 0),
+              rst_json_get_number (job, "waiting", 0),
+              rst_json_get_number (job, "asked", 0),
+              rst_json_get_number (job, "held", 0),
+              rst_json_get_number (job, "looked_for", 0));
+      if (rst_json_get_text (job, "waiting_for")[0] != '\0')
+        printf ("  waits for: %s\n", rst_json_get_text (job, "waiting_for"));
     }
 }
 
 int
 cli_why (const struct cli_args *args)
 {
-  struct why why = { args->words[0], false };
-  int result = visit_all (args, explain, &why);
+  struct job_search job_search = { args->words[0], false };
+  int result = visit_all (args, print_job, &job_search);
 
-  if (result == CLI_OK && !why.found)
+  if (result == CLI_OK && !job_search.found)
     {
-      fprintf (stderr, "job %s: no scheduler follows it\n", why.name);
+      fprintf (stderr, "job %s: no scheduler follows it\n", job_search.name);
       return CLI_FAILED;
     }
   return result;
--- a/src/cli/store.c
+++ b/src/cli/store.c
@@ -9,22 +9,22 @@
 #include "transport/transport.h"
 
 /** Most tries when other operators change the same branch. */
-#define UPDATE_TRIES 20
+#define UPDATE_ATTEMPTS_MAX 20
 
 static int
-call (const struct cli_args *args, const char *method, const char *path,
-      const char *body, int *status, GString *answer)
+call_store (const struct cli_args *args, const char *method, const char *path,
+            const char *body, int *status, GString *answer)
 {
   char *url = g_strdup_printf ("http://%s%s", args->store, path);
-  int error
-      = rst_http_sync (method, url, body, args->timeout_ms, status, answer);
+  int error = rst_http_sync_request (method, url, body, args->timeout_ms,
+                                     status, answer);
 
   g_free (url);
   return error;
 }
 
 static int
-store_failed (int error, int status)
+report_store_failure (int error, int status)
 {
   if (error != RST_TRANSPORT_OK)
     fprintf (stderr, "store: %s\n", rst_transport_strerror (error));
@@ -41,7 +41,7 @@
   GString *answer = g_string_new ("");
   struct json_object *root;
   int status;
-  int error = call (args, "GET", path, NULL, &status, answer);
+  int error = call_store (args, "GET", path, NULL, &status, answer);
   int result = CLI_OK;
 
   *value = NULL;
@@ -49,12 +49,12 @@
   if (error == RST_TRANSPORT_OK && status == 404)
     *value = g_strdup ("");
   else if (error != RST_TRANSPORT_OK || status != 200)
-    result = store_failed (error, status);
+    result = report_store_failure (error, status);
   else
     {
       root = rst_json_parse (answer->str);
-      *value = g_strdup (rst_json_text (root, "value"));
-      *revision = (uint64_t)rst_json_number (root, "revision", 0);
+      *value = g_strdup (rst_json_get_text (root, "value"));
+      *revision = (uint64_t)rst_json_get_number (root, "revision", 0);
       json_object_put (root);
     }
   g_string_free (answer, TRUE);
@@ -70,16 +70,16 @@
   GString *answer = g_string_new ("");
   struct json_object *root;
   int status;
-  int error = call (args, "GET", path, NULL, &status, answer);
+  int error = call_store (args, "GET", path, NULL, &status, answer);
   int result = CLI_OK;
 
   *items = NULL;
   if (error != RST_TRANSPORT_OK || status != 200)
-    result = store_failed (error, status);
+    result = report_store_failure (error, status);
   else
     {
       root = rst_json_parse (answer->str);
-      *items = json_object_get (rst_json_array (root, "items"));
+      *items = json_object_get (rst_json_get_array (root, "items"));
       json_object_put (root);
     }
   g_string_free (answer, TRUE);
@@ -88,19 +88,19 @@
 }
 
 static int
-put (const struct cli_args *args, const char *key, const char *value,
-     uint64_t expected, int *status, uint64_t *revision)
+put_key (const struct cli_args *args, const char *key, const char *value,
+         uint64_t expected, int *status, uint64_t *revision)
 {
   char *path = g_strdup_printf ("/v1/kv?key=%s&expect=%" G_GUINT64_FORMAT, key,
                                 expected);
   GString *answer = g_string_new ("");
   struct json_object *root;
-  int error = call (args, "PUT", path, value, status, answer);
+  int error = call_store (args, "PUT", path, value, status, answer);
 
   if (error == RST_TRANSPORT_OK && *status == 200)
     {
       root = rst_json_parse (answer->str);
-      *revision = (uint64_t)rst_json_number (root, "revision", 0);
+      *revision = (uint64_t)rst_json_get_number (root, "revision", 0);
       json_object_put (root);
     }
   g_string_free (answer, TRUE);
@@ -109,12 +109,12 @@
 }
 
 static bool
-is_sound (const char *key, const char *value)
+check_value (const char *key, const char *value)
 {
   GString *problems = g_string_new ("");
-  bool sound = rst_settings_check (key, value, problems) == RST_STATE_OK;
+  bool valid = rst_settings_check (key, value, problems) == RST_STATE_OK;
 
-  if (!sound)
+  if (!valid)
     {
       char **lines = g_strsplit (problems->str, "\n", -1);
 
@@ -123,14 +123,14 @@
       g_strfreev (lines);
     }
   g_string_free (problems, TRUE);
-  return sound;
+  return valid;
 }
 
 /* One try.  Sets *again when another operator was first, or when the answer
    was lost and the value must be read again. */
 static int
 try_update (const struct cli_args *args, const char *key, cli_edit edit,
-            void *data, char **last, uint64_t *revision, bool *again)
+            void *data, char **last_written, uint64_t *revision, bool *retry)
 {
   char *value = NULL;
   char *changed = NULL;
@@ -138,26 +138,26 @@
   int error;
   int result = cli_store_get (args, key, &value, revision);
 
-  *again = false;
+  *retry = false;
   if (result != CLI_OK)
     return result;
-  if (*last != NULL && strcmp (*last, value) == 0)
+  if (*last_written != NULL && strcmp (*last_written, value) == 0)
     goto done;
   changed = edit (value, data);
-  if (changed == NULL || !is_sound (key, changed))
+  if (changed == NULL || !check_value (key, changed))
     {
       result = CLI_USAGE;
       goto done;
     }
-  g_free (*last);
-  *last = g_strdup (changed);
-  error = put (args, key, changed, *revision, &status, revision);
+  g_free (*last_written);
+  *last_written = g_strdup (changed);
+  error = put_key (args, key, changed, *revision, &status, revision);
   if (error == RST_TRANSPORT_OK && status == 200)
     goto done;
   if (error == RST_TRANSPORT_OK && status != 409)
-    result = store_failed (error, status);
+    result = report_store_failure (error, status);
   else
-    *again = true;
+    *retry = true;
 
 done:
   free (changed);
@@ -169,14 +169,15 @@
 cli_store_update (const struct cli_args *args, const char *key, cli_edit edit,
                   void *data, uint64_t *revision)
 {
-  char *last = NULL;
-  bool again = true;
+  char *last_written = NULL;
+  bool retry = true;
   int result = CLI_OK;
 
-  for (int i = 0; i < UPDATE_TRIES && again; i++)
-    result = try_update (args, key, edit, data, &last, revision, &again);
-  g_free (last);
-  if (again)
+  for (int i = 0; i < UPDATE_ATTEMPTS_MAX && retry; i++)
+    result
+        = try_update (args, key, edit, data, &last_written, revision, &retry);
+  g_free (last_written);
+  if (retry)
     {
       fprintf (stderr, "%s: others keep changing it; try again\n", key);
       return CLI_FAILED;
--- a/src/cli/teams.c
+++ b/src/cli/teams.c
@@ -24,7 +24,7 @@
 };
 
 static char *
-team_key (const char *team)
+build_team_key (const char *team)
 {
   return g_strconcat (RST_KEY_TEAMS, team, NULL);
 }
@@ -33,12 +33,12 @@
 parse_team (const char *name, const char *value, struct rst_team *out)
 {
   GString *problems = g_string_new ("");
-  bool sound = rst_team_parse (name, value, out, problems) == RST_STATE_OK;
+  bool valid = rst_team_parse (name, value, out, problems) == RST_STATE_OK;
 
-  if (!sound)
+  if (!valid)
     fprintf (stderr, "team %s: %s", name, problems->str);
   g_string_free (problems, TRUE);
-  return sound;
+  return valid;
 }
 
 static bool
@@ -56,7 +56,7 @@
 }
 
 static char *
-edit_team (const char *value, void *data)
+edit_set (const char *value, void *data)
 {
   const struct team_edit *edit = data;
   struct rst_team team;
@@ -68,14 +68,14 @@
       memset (&team, 0, sizeof team);
       g_strlcpy (team.name, edit->name, RST_NAME_SIZE);
       team.share = DEFAULT_SHARE;
-      team.upper_limit = RST_NO_LIMIT;
+      team.upper_limit = RST_NO_UPPER_LIMIT;
     }
   if (edit->args->share >= 0)
     team.share = (uint32_t)edit->args->share;
   if (edit->args->upper_limit >= 0)
     team.upper_limit = (uint32_t)edit->args->upper_limit;
   else if (edit->args->upper_limit == -2)
-    team.upper_limit = RST_NO_LIMIT;
+    team.upper_limit = RST_NO_UPPER_LIMIT;
   return rst_team_format (&team);
 }
 
@@ -136,9 +136,9 @@
 }
 
 static int
-update (struct team_edit *edit, cli_edit function)
+update_team (struct team_edit *edit, cli_edit function)
 {
-  char *key = team_key (edit->name);
+  char *key = build_team_key (edit->name);
   uint64_t revision = 0;
   int result = cli_store_update (edit->args, key, function, edit, &revision);
 
@@ -153,12 +153,12 @@
 {
   struct team_edit edit = { args, args->words[0], NULL, NULL };
 
-  if (!rst_conf_valid_name (edit.name))
+  if (!rst_conf_is_name (edit.name))
     {
       fprintf (stderr, "team %s: not a name of a team\n", edit.name);
       return CLI_USAGE;
     }
-  return update (&edit, edit_team);
+  return update_team (&edit, edit_set);
 }
 
 int
@@ -166,7 +166,7 @@
 {
   struct team_edit edit = { args, args->words[0], NULL, NULL };
 
-  return update (&edit, edit_delete);
+  return update_team (&edit, edit_delete);
 }
 
 int
@@ -184,8 +184,8 @@
   else
     g_snprintf (id, sizeof id, "k%08x", randombytes_random ());
   randombytes_buf (secret, sizeof secret);
-  rst_key_create (edit.name, id, secret, text, sizeof text, &key);
-  result = update (&edit, edit_grant);
+  rst_team_key_create (edit.name, id, secret, text, sizeof text, &key);
+  result = update_team (&edit, edit_grant);
   if (result == CLI_OK)
     printf ("key %s\n", text);
   sodium_memzero (secret, sizeof secret);
@@ -198,13 +198,13 @@
 {
   struct team_edit edit = { args, args->words[0], args->words[1], NULL };
 
-  return update (&edit, edit_withdraw);
+  return update_team (&edit, edit_withdraw);
 }
 
 int
 cli_key_list (const struct cli_args *args)
 {
-  char *key = team_key (args->words[0]);
+  char *key = build_team_key (args->words[0]);
   char *value = NULL;
   uint64_t revision;
   struct rst_team team;
@@ -231,17 +231,19 @@
   for (size_t i = 0; i < json_object_array_length (items); i++)
     {
       struct json_object *item = json_object_array_get_idx (items, i);
-      const char *name = rst_json_text (item, "key") + strlen (RST_KEY_TEAMS);
+      const char *name
+          = rst_json_get_text (item, "key") + strlen (RST_KEY_TEAMS);
       char limit[16] = "none";
       struct rst_team team;
 
-      if (!parse_team (name, rst_json_text (item, "value"), &team)
+      if (!parse_team (name, rst_json_get_text (item, "value"), &team)
           || team.deleted)
         continue;
-      if (team.upper_limit != RST_NO_LIMIT)
+      if (team.upper_limit != RST_NO_UPPER_LIMIT)
         g_snprintf (limit, sizeof limit, "%u", team.upper_limit);
       printf ("%-24s %8u %12s %6d %10" G_GINT64_FORMAT "\n", name, team.share,
-              limit, team.key_count, rst_json_number (item, "revision", 0));
+              limit, team.key_count,
+              rst_json_get_number (item, "revision", 0));
     }
   json_object_put (items);
   return CLI_OK;
--- a/src/cli/zones.c
+++ b/src/cli/zones.c
@@ -32,7 +32,7 @@
   if (edit->running != NULL)
     rst_json_set_text (zone, "running", edit->running);
   json_object_object_add (root, edit->zone, zone);
-  return rst_json_release (root);
+  return rst_json_format_and_release (root);
 }
 
 static int
@@ -74,9 +74,9 @@
   root = parse_or_empty (value);
   json_object_object_foreach (root, name, zone)
   {
-    const char *running = rst_json_text (zone, "running");
+    const char *running = rst_json_get_text (zone, "running");
 
-    printf ("%-16s %-4s %s\n", name, rst_json_text (zone, "state"),
+    printf ("%-16s %-4s %s\n", name, rst_json_get_text (zone, "state"),
             running != NULL ? running : "");
   }
   printf ("revision %" G_GUINT64_FORMAT "\n", revision);
@@ -101,7 +101,7 @@
   if (field == NULL)
     field = json_object_new_string (edit->value);
   json_object_object_add (root, edit->field, field);
-  return rst_json_release (root);
+  return rst_json_format_and_release (root);
 }
 
 int
@@ -165,7 +165,7 @@
 {
   char *text = read_file (args->words[1]);
   GString *problems = g_string_new ("");
-  char *present = NULL;
+  char *current = NULL;
   uint64_t revision;
   int result = CLI_USAGE;
 
@@ -176,19 +176,19 @@
       fprintf (stderr, "%s", problems->str);
       goto done;
     }
-  result = cli_store_get (args, args->words[0], &present, &revision);
+  result = cli_store_get (args, args->words[0], &current, &revision);
   if (result != CLI_OK)
     goto done;
   printf ("sound; present revision %" G_GUINT64_FORMAT "\n", revision);
-  if (strcmp (present, text) != 0)
+  if (strcmp (current, text) != 0)
     {
-      print_lines ('-', present);
+      print_lines ('-', current);
       print_lines ('+', text);
     }
 
 done:
   g_string_free (problems, TRUE);
-  g_free (present);
+  g_free (current);
   g_free (text);
   return result;
 }
--- a/src/coordination/entry.c
+++ b/src/coordination/entry.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <glib.h>
 
-#define LOG_PREFIX "route"
+#define LOG_DOMAIN "route"
 
 /** Mean interval between attempts to connect to schedulers. */
 #define CONNECT_INTERVAL_MS 300
@@ -69,9 +69,9 @@
 void
 rst_entry_count_outcome (struct rst_entry *entry, uint64_t outcome)
 {
-  if (outcome == RST_ANSWERED)
+  if (outcome == RST_REQUEST_ANSWERED)
     entry->counters.answered++;
-  else if (outcome == RST_NOT_RUN)
+  else if (outcome == RST_REQUEST_NOT_RUN)
     entry->counters.not_run++;
   else
     entry->counters.unknown++;
@@ -86,10 +86,10 @@
   struct rst_entry_reply reply = { 0 };
   char *text;
 
-  rst_json_set_text (root, "outcome", rst_outcome_name (outcome));
+  rst_json_set_text (root, "outcome", rst_request_outcome_name (outcome));
   rst_json_set_text (root, "reason", reason);
   rst_json_set_text (root, "detail", detail);
-  text = rst_json_release (root);
+  text = rst_json_format_and_release (root);
   reply.status = status;
   reply.body = text;
   reply.length = strlen (text);
@@ -124,9 +124,9 @@
 {
   /* An earlier attempt may have run, so that it can't be reported as not
      run. */
-  if (outcome == RST_NOT_RUN && pending->may_have_run)
+  if (outcome == RST_REQUEST_NOT_RUN && pending->may_have_run)
     {
-      outcome = RST_UNKNOWN;
+      outcome = RST_REQUEST_OUTCOME_UNKNOWN;
       status = 504;
     }
   rst_entry_reply_error (entry, pending->handle, status, outcome, reason,
@@ -167,11 +167,11 @@
       && rst_entry_retry_pending (entry, pending))
     return;
   if (is_read_only)
-    rst_entry_fail_pending (entry, pending, 503, RST_NOT_RUN, "link-broke",
-                            "the link to the scheduler broke");
+    rst_entry_fail_pending (entry, pending, 503, RST_REQUEST_NOT_RUN,
+                            "link-broke", "the link to the scheduler broke");
   else
-    rst_entry_fail_pending (entry, pending, 502, RST_UNKNOWN, "link-broke",
-                            "the link to the scheduler broke");
+    rst_entry_fail_pending (entry, pending, 502, RST_REQUEST_OUTCOME_UNKNOWN,
+                            "link-broke", "the link to the scheduler broke");
 }
 
 void
@@ -244,7 +244,8 @@
       struct pending_request *pending = item->data;
 
       if (now >= pending->expires_at)
-        rst_entry_fail_pending (entry, pending, 504, RST_UNKNOWN, "no-answer",
+        rst_entry_fail_pending (entry, pending, 504,
+                                RST_REQUEST_OUTCOME_UNKNOWN, "no-answer",
                                 "no answer before the deadline");
     }
   g_list_free (all);
@@ -262,7 +263,7 @@
         + g_rand_int_range (entry->random, 0, CONNECT_INTERVAL_MS);
   for (guint i = 0; i < entry->seed_addresses->len; i++)
     connect_to_address (entry, g_ptr_array_index (entry->seed_addresses, i));
-  rst_settings_records (entry->settings, connect_to_members, entry);
+  rst_settings_visit_zone_records (entry->settings, connect_to_members, entry);
 }
 
 static void
@@ -276,9 +277,9 @@
   if (now < entry->digest_next_at)
     return;
   entry->digest_next_at = now + DIGEST_INTERVAL_MS;
-  message.type = RST_DIGEST;
-  message.digest.hash = rst_settings_hash (entry->settings);
-  message.digest.newest = rst_settings_newest (entry->settings);
+  message.type = RST_SETTINGS_DIGEST;
+  message.digest.hash = rst_settings_get_hash (entry->settings);
+  message.digest.newest = rst_settings_get_newest_revision (entry->settings);
   g_hash_table_iter_init (&iterator, entry->peers);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     if (((struct scheduler_peer *)value)->is_scheduler)
@@ -312,7 +313,8 @@
   GHashTableIter iterator;
   gpointer value;
 
-  if (entry->stopping || rst_settings_newest (entry->settings) == 0)
+  if (entry->stopping
+      || rst_settings_get_newest_revision (entry->settings) == 0)
     return false;
   g_hash_table_iter_init (&iterator, entry->peers);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
@@ -348,8 +350,9 @@
   rst_json_set_text (root, "name", entry->config.name);
   rst_json_set_text (root, "availability_zone", entry->config.zone);
   rst_json_set_bool (root, "ready", rst_entry_is_ready (entry));
-  rst_json_set_number (root, "newest",
-                       (int64_t)rst_settings_newest (entry->settings));
+  rst_json_set_number (
+      root, "newest",
+      (int64_t)rst_settings_get_newest_revision (entry->settings));
   rst_json_set_number (root, "pending", rst_entry_count_pending (entry));
   g_hash_table_iter_init (&iterator, entry->peers);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
@@ -365,7 +368,7 @@
       json_object_array_add (list, item);
     }
   json_object_object_add (root, "schedulers", list);
-  return rst_json_release (root);
+  return rst_json_format_and_release (root);
 }
 
 void
@@ -377,7 +380,8 @@
     return;
   all = g_hash_table_get_values (entry->pending);
   for (GList *item = all; item != NULL; item = item->next)
-    rst_entry_fail_pending (entry, item->data, 504, RST_UNKNOWN, "stopping",
+    rst_entry_fail_pending (entry, item->data, 504,
+                            RST_REQUEST_OUTCOME_UNKNOWN, "stopping",
                             "the entry stopped before the answer came");
   g_list_free (all);
   g_hash_table_destroy (entry->pending);
--- a/src/coordination/entry_message.c
+++ b/src/coordination/entry_message.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <glib.h>
 
-#define LOG_PREFIX "route"
+#define LOG_DOMAIN "route"
 
 static void
 handle_hello (struct rst_entry *entry, struct scheduler_peer *peer,
@@ -20,7 +20,7 @@
 
 static void
 handle_branch (struct rst_entry *entry,
-               const struct rst_branch_message *branch)
+               const struct rst_settings_branch *branch)
 {
   GString *problems = g_string_new ("");
   int error
@@ -59,10 +59,10 @@
   if (pending == NULL || pending->link != link
       || pending->message.type != RST_QUERY)
     return;
-  if (answer->outcome == RST_NOT_RUN && answer->status == 503
+  if (answer->outcome == RST_REQUEST_NOT_RUN && answer->status == 503
       && rst_entry_retry_pending (entry, pending))
     return;
-  if (answer->outcome != RST_ANSWERED)
+  if (answer->outcome != RST_REQUEST_ANSWERED)
     {
       rst_entry_fail_pending (entry, pending, (unsigned)answer->status,
                               answer->outcome, answer->reason, answer->detail);
@@ -73,7 +73,7 @@
   reply.length = RST_FAULT (RST_FAULT_TRUNCATE_ANSWER)
                      ? answer->body.length / 2
                      : answer->body.length;
-  rst_entry_count_outcome (entry, RST_ANSWERED);
+  rst_entry_count_outcome (entry, RST_REQUEST_ANSWERED);
   entry->reply_callback (pending->handle, &reply);
   rst_entry_remove_pending (entry, pending);
 }
@@ -93,9 +93,10 @@
   reply.body = message->job_reply.body.data;
   reply.length = message->job_reply.body.length;
   reply.retry_after_s = reply.status == 503 ? 1 : 0;
-  rst_entry_count_outcome (entry, reply.status < 300   ? RST_ANSWERED
-                                  : reply.status < 504 ? RST_NOT_RUN
-                                                       : RST_UNKNOWN);
+  rst_entry_count_outcome (entry, reply.status < 300 ? RST_REQUEST_ANSWERED
+                                  : reply.status < 504
+                                      ? RST_REQUEST_NOT_RUN
+                                      : RST_REQUEST_OUTCOME_UNKNOWN);
   entry->reply_callback (pending->handle, &reply);
   rst_entry_remove_pending (entry, pending);
 }
@@ -114,7 +115,7 @@
     case RST_HELLO:
       handle_hello (entry, peer, &message->hello);
       break;
-    case RST_BRANCH:
+    case RST_SETTINGS_BRANCH:
       handle_branch (entry, &message->branch);
       break;
     case RST_LOAD:
--- a/src/coordination/entry_request.c
+++ b/src/coordination/entry_request.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <glib.h>
 
-#define LOG_PREFIX "route"
+#define LOG_DOMAIN "route"
 
 /** Deadline of a query whose caller sets none. */
 #define DEFAULT_DEADLINE_MS 10000
@@ -31,13 +31,13 @@
       char **parts
           = g_strsplit (authorization + strlen (BEARER_PREFIX), "/", 2);
       const struct rst_team *team
-          = rst_settings_team (entry->settings, parts[0]);
+          = rst_settings_find_team (entry->settings, parts[0]);
 
       g_strfreev (parts);
       return team;
     }
-  return rst_settings_key_team (entry->settings,
-                                authorization + strlen (BEARER_PREFIX));
+  return rst_settings_find_team_by_key (
+      entry->settings, authorization + strlen (BEARER_PREFIX));
 }
 
 /* Parses the headers of a query.  Returns what is wrong with them, or NULL. */
@@ -93,12 +93,12 @@
   struct pending_request *pending;
   rst_ms deadline_ms;
   const char *problem = parse_query_headers (request, &query, &deadline_ms);
-  rst_ms bound = rst_settings_cell (entry->settings)->max_deadline_ms;
+  rst_ms bound = rst_settings_get_cell (entry->settings)->max_deadline_ms;
 
   if (problem != NULL)
     {
-      rst_entry_reply_error (entry, handle, 400, RST_NOT_RUN, "bad-request",
-                             problem);
+      rst_entry_reply_error (entry, handle, 400, RST_REQUEST_NOT_RUN,
+                             "bad-request", problem);
       return;
     }
   pending = add_pending (entry, handle, MIN (deadline_ms, bound));
@@ -129,8 +129,8 @@
   if (request->operation != RST_JOB_SUBMIT)
     return g_strdup (request->job != NULL ? request->job : "");
   root = rst_json_parse (request->body);
-  if (rst_json_text (root, "id") != NULL)
-    id = g_strdup (rst_json_text (root, "id"));
+  if (rst_json_get_text (root, "id") != NULL)
+    id = g_strdup (rst_json_get_text (root, "id"));
   json_object_put (root);
   if (id == NULL && request->request_id != NULL)
     id = g_strdup (request->request_id);
@@ -151,12 +151,12 @@
   bool is_list = request->operation == RST_JOB_LIST;
 
   if (!is_list
-      && (strlen (id) == 0 || strlen (id) > RST_JOB_ID_MAX
+      && (strlen (id) == 0 || strlen (id) > RST_JOB_ID_MAX_BYTES
           || strspn (id, G_CSET_A_2_Z G_CSET_a_2_z G_CSET_DIGITS "-_.")
                  != strlen (id)))
     {
       rst_entry_reply_error (
-          entry, handle, 400, RST_NOT_RUN, "bad-request",
+          entry, handle, 400, RST_REQUEST_NOT_RUN, "bad-request",
           "id: must have 1 to 36 letters, digits, '-', '_', '.'");
       g_free (id);
       return;
@@ -179,24 +179,25 @@
   const struct rst_team *team;
 
   entry->counters.requests++;
-  if (entry->stopping || rst_settings_newest (entry->settings) == 0)
+  if (entry->stopping
+      || rst_settings_get_newest_revision (entry->settings) == 0)
     {
-      rst_entry_reply_error (entry, handle, 503, RST_NOT_RUN, "not-ready",
-                             "this entry takes no requests now");
+      rst_entry_reply_error (entry, handle, 503, RST_REQUEST_NOT_RUN,
+                             "not-ready", "this entry takes no requests now");
       return;
     }
   team = find_team_by_key (entry, request->key);
   if (team == NULL)
     {
       entry->counters.unauthorized++;
-      rst_entry_reply_error (entry, handle, 401, RST_NOT_RUN, "unauthorized",
-                             "Authorization: no valid key");
+      rst_entry_reply_error (entry, handle, 401, RST_REQUEST_NOT_RUN,
+                             "unauthorized", "Authorization: no valid key");
       return;
     }
   if (rst_entry_count_pending (entry) >= entry->config.max_pending)
     {
-      rst_entry_reply_error (entry, handle, 429, RST_NOT_RUN, "overload",
-                             "too many requests are waiting here");
+      rst_entry_reply_error (entry, handle, 429, RST_REQUEST_NOT_RUN,
+                             "overload", "too many requests are waiting here");
       return;
     }
   if (request->operation == 0)
--- a/src/coordination/entry_send.c
+++ b/src/coordination/entry_send.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <glib.h>
 
-#define LOG_PREFIX "route"
+#define LOG_DOMAIN "route"
 
 /** Maximum number of attempts of one request. */
 #define ATTEMPTS_MAX 3
@@ -26,7 +26,7 @@
   if (!peer->is_scheduler || !peer->open || !peer->has_load
       || !peer->load.ready || peer->link == pending->link
       || (is_query && peer->load.slots_total == 0)
-      || rst_settings_zone_out (entry->settings, peer->zone))
+      || rst_settings_is_zone_out (entry->settings, peer->zone))
     return false;
   return is_alive || (is_query && pending->message.query.idempotent);
 }
@@ -95,7 +95,7 @@
   gpointer value;
   int pick;
 
-  rst_settings_records (entry->settings, collect_members, names);
+  rst_settings_visit_zone_records (entry->settings, collect_members, names);
   pick = rst_rendezvous_pick (key, (const char *const *)names->pdata,
                               (int)names->len);
   g_hash_table_iter_init (&iterator, entry->peers);
@@ -121,7 +121,7 @@
   bool is_query = message->type == RST_QUERY;
 
   (void)entry;
-  rst_info (LOG_PREFIX, "Request routed.", "request",
+  rst_info (LOG_DOMAIN, "Request routed.", "request",
             is_query ? message->query.request_id : message->job_call.job,
             "team", is_query ? message->query.team : message->job_call.team,
             "zone", peer->zone, "scheduler", peer->incarnation, "reason",
@@ -161,7 +161,8 @@
     peer = choose_scheduler (entry, pending);
   if (peer == NULL
       || !send_to (entry, pending, peer, keyed ? "home" : "most-room"))
-    rst_entry_fail_pending (entry, pending, 503, RST_NOT_RUN, "no-scheduler",
+    rst_entry_fail_pending (entry, pending, 503, RST_REQUEST_NOT_RUN,
+                            "no-scheduler",
                             "no scheduler can take the request now");
 }
 
@@ -175,7 +176,8 @@
             : find_home_scheduler (entry, call->team, call->job);
 
   if (peer == NULL || !send_to (entry, pending, peer, "home"))
-    rst_entry_fail_pending (entry, pending, 503, RST_NOT_RUN, "no-scheduler",
+    rst_entry_fail_pending (entry, pending, 503, RST_REQUEST_NOT_RUN,
+                            "no-scheduler",
                             "the job's scheduler cannot be reached now");
 }
 
--- a/src/coordination/limit.c
+++ b/src/coordination/limit.c
@@ -20,7 +20,7 @@
   if (text == NULL)
     return RST_OK;
   root = rst_json_parse (text);
-  list = rst_json_array (root, "parts");
+  list = rst_json_get_array (root, "parts");
   count = list != NULL ? json_object_array_length (list) : 0;
   if (list == NULL || count > RST_LIMIT_PARTS_MAX)
     goto done;
@@ -31,9 +31,9 @@
 
       if (!rst_json_copy_text (item, "holder", part->holder, RST_NAME_SIZE))
         goto done;
-      part->granted = (uint32_t)rst_json_number (item, "granted", 0);
-      part->wanted = (uint32_t)rst_json_number (item, "wanted", 0);
-      part->write_number = (uint64_t)rst_json_number (item, "write", 0);
+      part->granted = (uint32_t)rst_json_get_number (item, "granted", 0);
+      part->wanted = (uint32_t)rst_json_get_number (item, "wanted", 0);
+      part->write_number = (uint64_t)rst_json_get_number (item, "write", 0);
     }
   out->part_count = (int)count;
   error = RST_OK;
@@ -61,7 +61,7 @@
       json_object_array_add (list, item);
     }
   json_object_object_add (root, "parts", list);
-  return rst_json_release (root);
+  return rst_json_format_and_release (root);
 }
 
 uint32_t
--- a/src/coordination/ownership.c
+++ b/src/coordination/ownership.c
@@ -355,7 +355,7 @@
 static bool
 parse_members (struct json_object *root, struct rst_zone *zone)
 {
-  struct json_object *list = rst_json_array (root, "members");
+  struct json_object *list = rst_json_get_array (root, "members");
   size_t count = list != NULL ? json_object_array_length (list) : 0;
 
   if (list == NULL || count > RST_MEMBERS_MAX)
@@ -381,7 +381,7 @@
 static bool
 parse_departed (struct json_object *root, struct rst_zone *zone)
 {
-  struct json_object *list = rst_json_array (root, "departed");
+  struct json_object *list = rst_json_get_array (root, "departed");
   size_t count = list != NULL ? json_object_array_length (list) : 0;
 
   if (count > RST_DEPARTED_MAX)
@@ -401,7 +401,7 @@
 static bool
 parse_instances (struct json_object *root, struct rst_zone *zone)
 {
-  struct json_object *list = rst_json_array (root, "instances");
+  struct json_object *list = rst_json_get_array (root, "instances");
   size_t count = list != NULL ? json_object_array_length (list) : 0;
 
   if (list == NULL)
@@ -409,7 +409,7 @@
   for (size_t i = 0; i < count; i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
-      const char *name = rst_json_text (item, "name");
+      const char *name = rst_json_get_text (item, "name");
       struct rst_ownership *ownership;
 
       if (name == NULL || strlen (name) >= RST_NAME_SIZE
@@ -420,8 +420,8 @@
           || !rst_json_copy_text (item, "owner", ownership->owner,
                                   RST_NAME_SIZE))
         return false;
-      ownership->epoch = (uint64_t)rst_json_number (item, "epoch", 0);
-      ownership->settled = rst_json_bool (item, "settled", false);
+      ownership->epoch = (uint64_t)rst_json_get_number (item, "epoch", 0);
+      ownership->settled = rst_json_get_bool (item, "settled", false);
     }
   return true;
 }
@@ -443,7 +443,7 @@
       || !parse_members (root, zone) || !parse_departed (root, zone)
       || !parse_instances (root, zone))
     goto fail;
-  zone->write_number = (uint64_t)rst_json_number (root, "write", 0);
+  zone->write_number = (uint64_t)rst_json_get_number (root, "write", 0);
   zone->revision = revision;
   json_object_put (root);
   *out = zone;
@@ -513,7 +513,7 @@
   json_object_object_add (root, "members", format_members (zone));
   json_object_object_add (root, "departed", format_departed (zone));
   json_object_object_add (root, "instances", format_instances (zone));
-  return rst_json_release (root);
+  return rst_json_format_and_release (root);
 }
 
 int
@@ -526,8 +526,8 @@
   if (rst_json_copy_text (root, "incarnation", out->incarnation, RST_NAME_SIZE)
       && rst_json_copy_text (root, "fenced_by", out->fenced_by, RST_NAME_SIZE))
     error = RST_OK;
-  out->view = (uint64_t)rst_json_number (root, "view", 0);
-  out->touch = (uint64_t)rst_json_number (root, "touch", 0);
+  out->view = (uint64_t)rst_json_get_number (root, "view", 0);
+  out->touch = (uint64_t)rst_json_get_number (root, "touch", 0);
   json_object_put (root);
   return error;
 }
@@ -541,5 +541,5 @@
   rst_json_set_number (root, "view", (int64_t)record->view);
   rst_json_set_number (root, "touch", (int64_t)record->touch);
   rst_json_set_text (root, "fenced_by", record->fenced_by);
-  return rst_json_release (root);
+  return rst_json_format_and_release (root);
 }
--- a/src/coordination/sched_instance.c
+++ b/src/coordination/sched_instance.c
@@ -9,7 +9,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "instance"
+#define LOG_DOMAIN "instance"
 
 /** Failures in a row after which nothing is started on an instance for a
  * while. */
@@ -45,7 +45,7 @@
 }
 
 struct run *
-sched_run_add (struct instance *instance, const struct rst_work *info)
+sched_run_add (struct instance *instance, const struct rst_run_info *info)
 {
   struct run *run = g_new0 (struct run, 1);
 
@@ -161,7 +161,7 @@
 {
   if (instance->phase == INSTANCE_NOT_OWNED)
     return;
-  rst_info (LOG_PREFIX, "Instance is no longer owned by this scheduler.",
+  rst_info (LOG_DOMAIN, "Instance is no longer owned by this scheduler.",
             "instance", instance->info.name);
   instance->phase = INSTANCE_NOT_OWNED;
   instance->releasing = false;
@@ -248,7 +248,7 @@
 
   if (instance->listed && instance->info.leaving != info->leaving)
     {
-      rst_info (LOG_PREFIX,
+      rst_info (LOG_DOMAIN,
                 info->leaving
                     ? "Instance is leaving; nothing is started on it."
                     : "Instance is no longer leaving.",
@@ -286,8 +286,8 @@
   if (sched->list_fetch_pending || sched_now (sched) < sched->list_next_at)
     return;
   sched->list_fetch_pending = true;
-  sched->platform->list_fetch (sched->platform_data, sched->list_revision,
-                               on_instances_listed, sched);
+  sched->platform->instance_list_fetch (
+      sched->platform_data, sched->list_revision, on_instances_listed, sched);
 }
 
 static bool
--- a/src/coordination/sched_instance_adopt.c
+++ b/src/coordination/sched_instance_adopt.c
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "instance"
+#define LOG_DOMAIN "instance"
 
 /** Time between two inspections of an instance that is being adopted, or that
  * runs queries of an earlier owner. */
@@ -65,18 +65,19 @@
   return instance;
 }
 
-static const struct rst_work *
+static const struct rst_run_info *
 find_reported_run (const struct rst_platform_reply *reply, const char *id)
 {
-  for (int i = 0; i < reply->work_count; i++)
-    if (strcmp (reply->work[i].id, id) == 0)
-      return &reply->work[i];
+  for (int i = 0; i < reply->run_count; i++)
+    if (strcmp (reply->runs[i].id, id) == 0)
+      return &reply->runs[i];
   return NULL;
 }
 
 /* Adds a run that is new here, or records the end of a known one. */
 static void
-apply_reported_run (struct instance *instance, const struct rst_work *reported)
+apply_reported_run (struct instance *instance,
+                    const struct rst_run_info *reported)
 {
   struct run *run = sched_run_find (instance, reported->id);
 
@@ -128,8 +129,8 @@
 {
   instance->last_report_at = sched_now (instance->sched);
   instance->renewals_failed = 0;
-  for (int i = 0; i < reply->work_count; i++)
-    apply_reported_run (instance, &reply->work[i]);
+  for (int i = 0; i < reply->run_count; i++)
+    apply_reported_run (instance, &reply->runs[i]);
   handle_unreported_runs (instance, reply);
 }
 
@@ -147,7 +148,7 @@
   instance->sched->load_changed = true;
   g_snprintf (epoch, sizeof epoch, "%" G_GUINT64_FORMAT, instance->epoch);
   g_snprintf (count, sizeof count, "%d", running);
-  rst_info (LOG_PREFIX, "Instance was adopted; it can be used.", "instance",
+  rst_info (LOG_DOMAIN, "Instance was adopted; it can be used.", "instance",
             instance->info.name, "epoch", epoch, "running", count);
   sched_limit_announce_adopted (instance);
 }
@@ -192,9 +193,9 @@
       || sched_now (sched) < instance->next_inspect_at)
     return;
   instance->inspection_pending = true;
-  sched->platform->inspect (sched->platform_data, instance->info.address,
-                            instance->epoch, on_inspected,
-                            instance_call_create (instance));
+  sched->platform->instance_inspect (
+      sched->platform_data, instance->info.address, instance->epoch,
+      on_inspected, instance_call_create (instance));
 }
 
 static void
@@ -287,7 +288,7 @@
   CK_LIST_FOREACH (run, &instance->runs, entry)
   if (!run->ended && !run->reserved && run->info.job[0] != '\0')
     {
-      rst_warning (LOG_PREFIX, "Instance is unreachable; its task is lost.",
+      rst_warning (LOG_DOMAIN, "Instance is unreachable; its task is lost.",
                    "instance", instance->info.name, "task", run->info.id);
       sched_run_end (run, RST_TASK_LOST);
     }
--- a/src/coordination/sched_job.c
+++ b/src/coordination/sched_job.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOG_PREFIX "job"
+#define LOG_DOMAIN "job"
 
 /** How long a finished job is kept before its record is deleted. */
 #define FINISHED_RETENTION_MS 600000
@@ -44,7 +44,7 @@
   rst_json_set_text (root, "outcome", outcome);
   rst_json_set_text (root, "reason", reason);
   rst_json_set_text (root, "detail", detail);
-  text = rst_json_release (root);
+  text = rst_json_format_and_release (root);
   sched_job_send_reply (sched, link, id, status, text);
   free (text);
 }
@@ -132,7 +132,7 @@
   job->reconcile_next_at = job->created_at + RECONCILE_INTERVAL_MS;
   CK_STAILQ_INIT (&job->end_acks);
   for (int64_t i = 0; i < record->spec.tasks; i++)
-    if (record->ended[i] != '.')
+    if (record->task_outcomes[i] != '.')
       job->tasks[i].state = TASK_ENDED;
     else
       job->waiting_count++;
@@ -260,7 +260,7 @@
 sched_job_advance (struct job *job)
 {
   rst_ms now = sched_now (job->sched);
-  bool finished = rst_job_record_finished (&job->record);
+  bool finished = rst_job_record_is_finished (&job->record);
 
   if (!job->accepted)
     {
--- a/src/coordination/sched_job_call.c
+++ b/src/coordination/sched_job_call.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOG_PREFIX "job"
+#define LOG_DOMAIN "job"
 
 /* Whether some worker is large enough for a task of the job; true while the
    instances are not known.  Otherwise @problem says what is missing. */
@@ -91,9 +91,9 @@
     }
   g_strlcpy (record.owner, sched->incarnation, RST_NAME_SIZE);
   record.generation = 1;
-  record.ended = g_strnfill ((gsize)record.spec.tasks, '.');
+  record.task_outcomes = g_strnfill ((gsize)record.spec.tasks, '.');
   if (record.spec.policy != RST_POLICY_GANG)
-    record.intent = MIN (START_INTENT_BATCH_TASKS, record.spec.tasks);
+    record.start_intent = MIN (START_INTENT_BATCH_TASKS, record.spec.tasks);
   job = sched_job_create (sched, &record);
   job->caller_link = link;
   job->caller_request_id = message->id;
@@ -142,7 +142,7 @@
   struct rst_scheduler *sched = read->sched;
   char *text;
 
-  if (!rst_job_record_finished (record)
+  if (!rst_job_record_is_finished (record)
       && (sched_link_to (sched, record->owner) != 0
           || read->call.job_call.operation == RST_JOB_CANCEL))
     {
@@ -205,7 +205,8 @@
   if (job != NULL && job->accepted)
     {
       if (call->operation == RST_JOB_CANCEL
-          && !rst_job_record_finished (&job->record) && !job->record.cancelled)
+          && !rst_job_record_is_finished (&job->record)
+          && !job->record.cancelled)
         {
           job->record.cancelled = true;
           job->dirty = true;
@@ -254,7 +255,7 @@
                                 &record)
           != RST_STATE_OK)
         continue;
-      state = rst_job_record_state (&record);
+      state = rst_job_record_get_state (&record);
       if (wanted_state[0] == '\0' || strcmp (wanted_state, state) == 0)
         {
           text = rst_job_record_describe (&record, 0, NULL);
@@ -264,7 +265,7 @@
       rst_job_record_clear (&record);
     }
   json_object_object_add (root, "jobs", list);
-  text = rst_json_release (root);
+  text = rst_json_format_and_release (root);
   sched_job_send_reply (read->sched, read->caller_link,
                         read->caller_request_id, 200, text);
   free (text);
@@ -365,7 +366,8 @@
       struct json_object *item = json_object_new_object ();
 
       rst_json_set_text (item, "name", job->record.name);
-      rst_json_set_text (item, "state", rst_job_record_state (&job->record));
+      rst_json_set_text (item, "state",
+                         rst_job_record_get_state (&job->record));
       rst_json_set_number (item, "tasks", job->record.spec.tasks);
       rst_json_set_number (item, "waiting", job->waiting_count);
       rst_json_set_number (item, "asked", job->start_requested_count);
--- a/src/coordination/sched_job_find.c
+++ b/src/coordination/sched_job_find.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOG_PREFIX "job"
+#define LOG_DOMAIN "job"
 
 /** Time between two rounds of find requests of a search. */
 #define SEARCH_INTERVAL_MS 700
@@ -138,7 +138,8 @@
      and are ignored. */
   if (job->search_id == 0)
     job->search_id = sched_next_id (job->sched);
-  rst_settings_records (job->sched->settings, send_find_requests, &search);
+  rst_settings_visit_zone_records (job->sched->settings, send_find_requests,
+                                   &search);
   if (!search.same_revision)
     sched_job_restart_search (job);
   else if (search.all_replied)
@@ -183,10 +184,10 @@
   record.generation++;
   job = sched_job_create (sched, &record);
   job->claiming = true;
-  job->stored_intent = record.intent;
+  job->stored_intent = record.start_intent;
   /* The intent of a gang covers all its tasks once it may have been started,
      and none before. */
-  job->gang_started = record.intent >= record.spec.tasks;
+  job->gang_started = record.start_intent >= record.spec.tasks;
   sched_job_write_record (job);
 }
 
--- a/src/coordination/sched_job_record.c
+++ b/src/coordination/sched_job_record.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOG_PREFIX "job"
+#define LOG_DOMAIN "job"
 
 /** Least time between two writes that store ends of tasks.  Intents and
  * cancellations are written without delay. */
@@ -42,7 +42,7 @@
   job->dirty = false;
   job->record.write_number++;
   job->base_revision = job->record.revision;
-  job->intent_in_write = job->record.intent;
+  job->intent_in_write = job->record.start_intent;
   CK_STAILQ_FOREACH (end_ack, &job->end_acks, entry)
   end_ack->in_write = true;
   g_free (job->written_text);
@@ -61,7 +61,7 @@
     {
       struct rst_message message = { 0 };
 
-      message.type = RST_TASK_END_SEEN;
+      message.type = RST_TASK_END_ACK;
       message.task_event.job = job->record.name;
       message.task_event.index = end_ack->index;
       message.task_event.attempt = end_ack->attempt;
@@ -74,15 +74,15 @@
 void
 sched_job_log_event (const struct job *job, const char *message)
 {
-  rst_info (LOG_PREFIX, message, "job", job->record.name, "zone",
+  rst_info (LOG_DOMAIN, message, "job", job->record.name, "zone",
             job->sched->config.zone, "state",
-            rst_job_record_state (&job->record));
+            rst_job_record_get_state (&job->record));
 }
 
 static void
 begin_search (struct job *job)
 {
-  for (int64_t i = 0; i < job->record.intent; i++)
+  for (int64_t i = 0; i < job->record.start_intent; i++)
     if (job->tasks[i].state == TASK_WAITING)
       {
         job->tasks[i].state = TASK_IN_DOUBT;
--- a/src/coordination/sched_job_start.c
+++ b/src/coordination/sched_job_start.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOG_PREFIX "job"
+#define LOG_DOMAIN "job"
 
 /** Most start requests of one job without a reply. */
 #define START_REQUESTS_MAX 64
@@ -37,7 +37,7 @@
       if (!peer->has_greeted || peer->role != RST_ROLE_SCHEDULER
           || !peer->has_load || !peer->load.ready
           || (int64_t)peer->load.largest_cpu_free < spec->cpu
-          || rst_settings_zone_out (sched->settings, peer->zone))
+          || rst_settings_is_zone_out (sched->settings, peer->zone))
         continue;
       if (same_zone != prefer_other_zone)
         free_cpu *= 4;
@@ -209,9 +209,9 @@
   if (job->first_waiting + START_INTENT_BATCH_TASKS / 2 < job->stored_intent
       && !gang)
     return;
-  if (next > job->record.intent)
+  if (next > job->record.start_intent)
     {
-      job->record.intent = next;
+      job->record.start_intent = next;
       job->dirty = true;
       job->write_next_at = 0;
     }
--- a/src/coordination/sched_job_task.c
+++ b/src/coordination/sched_job_task.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOG_PREFIX "job"
+#define LOG_DOMAIN "job"
 
 /** Failures after which a task is not started again. */
 #define TASK_FAILURES_MAX 3
@@ -57,7 +57,7 @@
 sched_job_end_task (struct job *job, struct task *task, char letter)
 {
   sched_job_set_task_state (job, task, TASK_ENDED);
-  job->record.ended[task - job->tasks] = letter;
+  job->record.task_outcomes[task - job->tasks] = letter;
   job->dirty = true;
 }
 
@@ -215,7 +215,7 @@
       job->waiting_for[0] = '\0';
       sched_job_set_task_state (job, task, TASK_RUNNING);
       break;
-    case RST_TASK_HELD:
+    case RST_TASK_RESERVED:
       sched_job_set_task_state (job, task, TASK_RESERVED);
       break;
     case RST_TASK_NOT_RUN:
--- a/src/coordination/sched_limit.c
+++ b/src/coordination/sched_limit.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOG_PREFIX "limit"
+#define LOG_DOMAIN "limit"
 
 /** Time for which rejected starts count as demand after the last of them. */
 #define DEMAND_TTL_MS 1500
@@ -41,7 +41,8 @@
 uint32_t
 sched_limit_get_upper (const struct rst_scheduler *sched, const char *team)
 {
-  const struct rst_team *settings = rst_settings_team (sched->settings, team);
+  const struct rst_team *settings
+      = rst_settings_find_team (sched->settings, team);
 
   return settings != NULL ? settings->upper_limit : 0;
 }
@@ -104,7 +105,7 @@
 {
   uint32_t upper = sched_limit_get_upper (team->sched, team->name);
 
-  if (upper == RST_NO_LIMIT || RST_FAULT (RST_FAULT_IGNORE_UPPER_LIMIT))
+  if (upper == RST_NO_UPPER_LIMIT || RST_FAULT (RST_FAULT_IGNORE_UPPER_LIMIT))
     return true;
   return team->run_count + team->handed_over
          < MIN (MIN (team->granted, upper), team->cap);
@@ -115,7 +116,7 @@
 {
   uint32_t upper = sched_limit_get_upper (team->sched, team->name);
 
-  return upper == RST_NO_LIMIT
+  return upper == RST_NO_UPPER_LIMIT
          || team->run_count + team->handed_over <= team->granted;
 }
 
@@ -255,7 +256,7 @@
 sched_limit_handle_adopted (struct rst_scheduler *sched, struct peer *peer,
                             const struct rst_message *message)
 {
-  const struct rst_adopted *adopted = &message->adopted;
+  const struct rst_adopted_runs *adopted = &message->adopted;
   GHashTableIter iterator;
   gpointer value;
 
@@ -291,7 +292,7 @@
   if (rst_limit_parse (value[0] != '\0' ? value : NULL, revision, &limit)
       != RST_OK)
     {
-      rst_warning (LOG_PREFIX, "Limit record is malformed; it is ignored.",
+      rst_warning (LOG_DOMAIN, "Limit record is malformed; it is ignored.",
                    "team", name);
       return;
     }
@@ -674,7 +675,7 @@
         read_limit (team);
       return;
     }
-  if (upper == RST_NO_LIMIT || sched_now (sched) < team->next_at)
+  if (upper == RST_NO_UPPER_LIMIT || sched_now (sched) < team->next_at)
     return;
   if (team->limit.part_count == 0 && get_demand (team) == 0
       && team->run_count == 0)
--- a/src/coordination/sched_member.c
+++ b/src/coordination/sched_member.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOG_PREFIX "member"
+#define LOG_DOMAIN "member"
 
 /** Number of renewals sent in one time to live of the store lease. */
 #define RENEWALS_PER_LEASE 3
@@ -97,7 +97,7 @@
 static void
 handle_tenure_lost (struct rst_scheduler *sched)
 {
-  rst_warning (LOG_PREFIX,
+  rst_warning (LOG_DOMAIN,
                "Another member ended the tenure; all instances are dropped.",
                "incarnation", sched->incarnation);
   sched->counters.fenced++;
@@ -142,7 +142,7 @@
     {
       sched->session = SESSION_REGISTERED;
       sched->lease_renewal_next_at = 0;
-      rst_info (LOG_PREFIX, "Registered.", "incarnation", sched->incarnation);
+      rst_info (LOG_DOMAIN, "Registered.", "incarnation", sched->incarnation);
       /* The lease began with its grant, before this write. */
       rst_tenure_record_renewal (sched->tenure,
                                  MIN (sched->lease_granted_at, sent_at));
@@ -314,7 +314,7 @@
     rst_tenure_record_renewal (sched->tenure, reply->sent_at);
   else if (reply->result == RST_PLATFORM_NOT_FOUND)
     {
-      rst_warning (LOG_PREFIX,
+      rst_warning (LOG_DOMAIN,
                    "Store lease has expired; the process registers again.",
                    "incarnation", sched->incarnation);
       rst_tenure_drop_lease (sched->tenure);
@@ -334,8 +334,8 @@
   sched->lease_renewal_next_at
       = now + sched->config.tenure.lease_ms / RENEWALS_PER_LEASE;
   sched->counters.store_writes++;
-  sched->platform->lease_keep (sched->platform_data, sched->lease_id,
-                               on_lease_renewed, sched);
+  sched->platform->lease_renew (sched->platform_data, sched->lease_id,
+                                on_lease_renewed, sched);
 }
 
 /* Takes the next step of the registration, or renews the lease. */
@@ -386,7 +386,7 @@
 on_joined (struct rst_scheduler *sched, bool ok)
 {
   if (ok)
-    rst_info (LOG_PREFIX,
+    rst_info (LOG_DOMAIN,
               "The ownership record lists this process as a member.",
               "incarnation", sched->incarnation);
 }
@@ -530,7 +530,7 @@
 
   peer->promise_request_number = sched_next_id (sched);
   peer->promise_requested_at = sched_now (sched);
-  message.type = RST_PROMISE_ASK;
+  message.type = RST_PROMISE_REQUEST;
   message.promise.incarnation = sched->incarnation;
   message.promise.number = peer->promise_request_number;
   sched_send (sched, peer->link, &message);
@@ -612,12 +612,12 @@
 {
   if (!ok)
     return;
-  rst_info (LOG_PREFIX, "All instances have been handed over.");
+  rst_info (LOG_DOMAIN, "All instances have been handed over.");
   sched->handover_done = true;
   sched_member_delete_record (sched, sched->incarnation);
   sched->counters.store_writes++;
-  sched->platform->lease_drop (sched->platform_data, sched->lease_id,
-                               sched_ignore_reply, sched);
+  sched->platform->lease_revoke (sched->platform_data, sched->lease_id,
+                                 sched_ignore_reply, sched);
 }
 
 /* Hands the instances over before a planned stop.  A process that is no
@@ -647,7 +647,7 @@
     {
       sched->tenure_was_held = held;
       sched->load_changed = true;
-      rst_info (LOG_PREFIX,
+      rst_info (LOG_DOMAIN,
                 held ? "Tenure is held; runs may be started."
                      : "Tenure is not held; nothing is started.",
                 "incarnation", sched->incarnation);
--- a/src/coordination/sched_member_takeover.c
+++ b/src/coordination/sched_member_takeover.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOG_PREFIX "member"
+#define LOG_DOMAIN "member"
 
 /** Delay before fencing for each live member that ranks before this one, so
  * that the members seldom try at the same time. */
@@ -39,7 +39,7 @@
     {
       takeover->fenced = true;
       takeover->busy = false;
-      rst_info (LOG_PREFIX,
+      rst_info (LOG_DOMAIN,
                 "Tenure of a member was ended; its instances are reassigned.",
                 "member", takeover->member);
       takeover->sched->counters.takeovers++;
@@ -301,7 +301,7 @@
                                  sched_now (sched));
   if (!g_hash_table_contains (sched->stopped_members, incarnation))
     {
-      rst_info (LOG_PREFIX, "Member has stopped; its tenure will be ended.",
+      rst_info (LOG_DOMAIN, "Member has stopped; its tenure will be ended.",
                 "member", incarnation);
       g_hash_table_add (sched->stopped_members, g_strdup (incarnation));
     }
--- a/src/coordination/sched_peer.c
+++ b/src/coordination/sched_peer.c
@@ -9,7 +9,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "peer"
+#define LOG_DOMAIN "peer"
 
 /** Mean time between two attempts to connect to peers. */
 #define CONNECT_INTERVAL_MS 500
@@ -79,7 +79,7 @@
 {
   struct rst_message message = { 0 };
 
-  message.type = RST_BRANCH;
+  message.type = RST_SETTINGS_BRANCH;
   message.branch.key = (char *)key;
   message.branch.revision = revision;
   message.branch.value.data = (char *)value;
@@ -112,7 +112,7 @@
 {
   struct push push = { sched, link, newer_than };
 
-  rst_settings_visit (sched->settings, push_branch, &push);
+  rst_settings_visit_branches (sched->settings, push_branch, &push);
 }
 
 /* Passes a branch that was applied here on to the entries. */
@@ -219,7 +219,7 @@
     }
   else if (first)
     {
-      rst_debug (LOG_PREFIX, "Peer has sent its hello.", "peer",
+      rst_debug (LOG_DOMAIN, "Peer has sent its hello.", "peer",
                  peer->incarnation);
       push_newer_branches (sched, peer->link, 0);
       sched->load_changed = true;
@@ -246,7 +246,7 @@
 {
   peer->digest_hash = message->digest.hash;
   peer->digest_newest_revision = message->digest.newest;
-  if (peer->digest_hash == rst_settings_hash (sched->settings))
+  if (peer->digest_hash == rst_settings_get_hash (sched->settings))
     {
       peer->digest_mismatches = 0;
       if (peer->role == RST_ROLE_SCHEDULER)
@@ -254,7 +254,8 @@
       return;
     }
   peer->digest_mismatches++;
-  if (peer->digest_newest_revision < rst_settings_newest (sched->settings))
+  if (peer->digest_newest_revision
+      < rst_settings_get_newest_revision (sched->settings))
     push_newer_branches (sched, peer->link, peer->digest_newest_revision);
   if (peer->digest_mismatches >= MISMATCHES_BEFORE_RESEND)
     {
@@ -291,7 +292,7 @@
   if (now < sched->connect_next_at || sched->stopped)
     return;
   sched->connect_next_at = now + sched_jitter (sched, CONNECT_INTERVAL_MS);
-  rst_settings_records (sched->settings, connect_to_members, sched);
+  rst_settings_visit_zone_records (sched->settings, connect_to_members, sched);
   for (guint i = 0; i < sched->seeds->len; i++)
     connect_to (sched, g_ptr_array_index (sched->seeds, i));
 }
@@ -306,9 +307,9 @@
       || now - peer->digest_sent_at < SCHED_DIGEST_INTERVAL_MS)
     return;
   peer->digest_sent_at = now;
-  message.type = RST_DIGEST;
-  message.digest.hash = rst_settings_hash (sched->settings);
-  message.digest.newest = rst_settings_newest (sched->settings);
+  message.type = RST_SETTINGS_DIGEST;
+  message.digest.hash = rst_settings_get_hash (sched->settings);
+  message.digest.newest = rst_settings_get_newest_revision (sched->settings);
   sched_send (sched, peer->link, &message);
 }
 
--- a/src/coordination/sched_query.c
+++ b/src/coordination/sched_query.c
@@ -9,7 +9,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "query"
+#define LOG_DOMAIN "query"
 
 /** Part of a retry that each query adds to the retry budget. */
 #define RETRY_EARNED_PER_QUERY_PERMILLE 200
@@ -66,9 +66,9 @@
 static void
 count_outcome (struct rst_scheduler *sched, uint64_t outcome)
 {
-  if (outcome == RST_ANSWERED)
+  if (outcome == RST_REQUEST_ANSWERED)
     sched->counters.answered++;
-  else if (outcome == RST_NOT_RUN)
+  else if (outcome == RST_REQUEST_NOT_RUN)
     sched->counters.not_run++;
   else
     sched->counters.unknown++;
@@ -82,10 +82,11 @@
   if (!rst_log_enabled (G_LOG_LEVEL_INFO))
     return;
   g_snprintf (epoch, sizeof epoch, "%" G_GUINT64_FORMAT, answer->epoch);
-  rst_info (LOG_PREFIX, "Query ended.", "request", query->request_id, "team",
+  rst_info (LOG_DOMAIN, "Query ended.", "request", query->request_id, "team",
             query->team->name, "zone", query->sched->config.zone, "instance",
             answer->instance, "epoch", epoch, "outcome",
-            rst_outcome_name (answer->outcome), "reason", answer->reason);
+            rst_request_outcome_name (answer->outcome), "reason",
+            answer->reason);
 }
 
 /* Stores how a request with the caller's id ended, as the reply to repeats of
@@ -101,7 +102,7 @@
   record = g_hash_table_lookup (sched->records, query->record_key);
   if (record == NULL || record->running_query != query)
     return;
-  if (message->answer.outcome == RST_NOT_RUN)
+  if (message->answer.outcome == RST_REQUEST_NOT_RUN)
     {
       g_hash_table_remove (sched->records, query->record_key);
       return;
@@ -141,7 +142,8 @@
   struct rst_answer answer = { 0 };
 
   /* An earlier attempt may have run. */
-  answer.outcome = query->may_have_run ? RST_UNKNOWN : RST_NOT_RUN;
+  answer.outcome = query->may_have_run ? RST_REQUEST_OUTCOME_UNKNOWN
+                                       : RST_REQUEST_NOT_RUN;
   answer.status = query->may_have_run ? HTTP_STATUS_TIMEOUT : status;
   answer.reason = (char *)reason;
   answer.detail = (char *)detail;
@@ -155,7 +157,7 @@
 {
   struct rst_answer answer = { 0 };
 
-  answer.outcome = RST_UNKNOWN;
+  answer.outcome = RST_REQUEST_OUTCOME_UNKNOWN;
   answer.status = status;
   answer.reason = (char *)"no-answer";
   answer.detail = (char *)detail;
@@ -173,7 +175,7 @@
 
   message.type = RST_ANSWER;
   message.id = id;
-  message.answer.outcome = RST_NOT_RUN;
+  message.answer.outcome = RST_REQUEST_NOT_RUN;
   message.answer.status = status;
   message.answer.reason = (char *)reason;
   message.answer.detail = (char *)detail;
--- a/src/coordination/sched_query_forward.c
+++ b/src/coordination/sched_query_forward.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "query"
+#define LOG_DOMAIN "query"
 
 /** Time after its deadline for which a forwarded query awaits its answer. */
 #define FORWARD_GRACE_MS 500
@@ -37,7 +37,7 @@
 
       if (!peer->has_greeted || peer->role != RST_ROLE_SCHEDULER
           || !peer->has_load || !peer->load.ready
-          || rst_settings_zone_out (sched->settings, peer->zone))
+          || rst_settings_is_zone_out (sched->settings, peer->zone))
         continue;
       free_slots = count_free_slots (peer);
       if (free_slots <= 0)
@@ -82,7 +82,7 @@
   query->forward_id = message.id;
   peer->forwarded_queries++;
   g_hash_table_insert (sched->query_forwards, &query->forward_id, query);
-  rst_info (LOG_PREFIX, "Query forwarded.", "request", query->request_id,
+  rst_info (LOG_DOMAIN, "Query forwarded.", "request", query->request_id,
             "team", query->team->name, "zone", peer->zone, "scheduler",
             peer->incarnation, "reason", "no free slot here");
   return true;
@@ -111,7 +111,7 @@
   if (query == NULL || query->forward_link != link)
     return;
   clear_forward (query);
-  if (message->answer.outcome == RST_NOT_RUN
+  if (message->answer.outcome == RST_REQUEST_NOT_RUN
       && sched_query_has_free_slot (sched)
       && sched_now (sched) < query->deadline)
     {
@@ -119,7 +119,7 @@
       sched_query_dispatch (sched);
       return;
     }
-  if (message->answer.outcome == RST_NOT_RUN)
+  if (message->answer.outcome == RST_REQUEST_NOT_RUN)
     sched_query_reject (query, message->answer.status, message->answer.reason,
                         message->answer.detail);
   else
--- a/src/coordination/sched_query_intake.c
+++ b/src/coordination/sched_query_intake.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "query"
+#define LOG_DOMAIN "query"
 
 /** How long the messages received are remembered to detect duplicates. */
 #define DUPLICATE_WINDOW_MS 5000
@@ -65,7 +65,7 @@
 {
   const struct rst_query *request = &message->query;
   rst_ms max_deadline_ms
-      = rst_settings_cell (sched->settings)->max_deadline_ms;
+      = rst_settings_get_cell (sched->settings)->max_deadline_ms;
   rst_ms now = sched_now (sched);
   struct query *query = g_new0 (struct query, 1);
 
@@ -102,7 +102,8 @@
 sched_query_place (struct query *query)
 {
   struct rst_scheduler *sched = query->sched;
-  int64_t max_queued = rst_settings_cell (sched->settings)->queue_per_team;
+  int64_t max_queued
+      = rst_settings_get_cell (sched->settings)->max_queued_per_team;
   struct peer *peer;
 
   if (query->hops == 0 && !sched_query_has_free_slot (sched))
@@ -175,7 +176,7 @@
                                   "request_id: empty or too long");
       return;
     }
-  if (rst_settings_team (sched->settings, request->team) == NULL)
+  if (rst_settings_find_team (sched->settings, request->team) == NULL)
     {
       sched_query_reject_message (sched, link, message->id,
                                   HTTP_STATUS_UNAVAILABLE, "unknown-team",
--- a/src/coordination/sched_query_run.c
+++ b/src/coordination/sched_query_run.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "query"
+#define LOG_DOMAIN "query"
 
 /** Most attempts of one query. */
 #define QUERY_ATTEMPTS_MAX 4
@@ -41,7 +41,7 @@
 team_weight (const struct team *team)
 {
   const struct rst_team *settings
-      = rst_settings_team (team->sched->settings, team->name);
+      = rst_settings_find_team (team->sched->settings, team->name);
 
   return settings != NULL ? settings->share : 1;
 }
@@ -131,7 +131,7 @@
 {
   struct rst_answer answer = { 0 };
 
-  answer.outcome = RST_ANSWERED;
+  answer.outcome = RST_REQUEST_ANSWERED;
   answer.status = (uint64_t)reply->status;
   answer.instance = (char *)instance;
   answer.epoch = epoch;
@@ -197,7 +197,7 @@
   if (!rst_log_enabled (G_LOG_LEVEL_INFO))
     return;
   g_snprintf (epoch, sizeof epoch, "%" G_GUINT64_FORMAT, instance->epoch);
-  rst_info (LOG_PREFIX, "Query placed.", "request", query->request_id, "team",
+  rst_info (LOG_DOMAIN, "Query placed.", "request", query->request_id, "team",
             query->team->name, "zone", query->sched->config.zone, "instance",
             instance->info.name, "epoch", epoch, "reason", "least-used");
 }
@@ -206,8 +206,8 @@
 start_query (struct query *query, struct instance *instance)
 {
   struct rst_scheduler *sched = query->sched;
-  struct rst_work info = { 0 };
-  struct rst_run run = { 0 };
+  struct rst_run_info info = { 0 };
+  struct rst_query_request run = { 0 };
   rst_ms now = sched_now (sched);
 
   g_snprintf (info.id, sizeof info.id, "%s/%s", query->team->name,
@@ -229,8 +229,8 @@
       = MIN (query->deadline, rst_tenure_get_expiry (sched->tenure, now));
   run.body = query->body.data;
   run.length = query->body.length;
-  sched->platform->runner_run (sched->platform_data, instance->info.address,
-                               &run, on_run_reply, query);
+  sched->platform->query_run (sched->platform_data, instance->info.address,
+                              &run, on_run_reply, query);
 }
 
 static bool
--- a/src/coordination/sched_record.c
+++ b/src/coordination/sched_record.c
@@ -11,7 +11,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "record"
+#define LOG_DOMAIN "record"
 
 /** How long the replies of earlier homes are awaited. */
 #define HOME_REPLY_TIMEOUT_MS 500
@@ -53,7 +53,7 @@
 static rst_ms
 get_lookback_ms (const struct rst_scheduler *sched)
 {
-  return rst_settings_cell (sched->settings)->max_deadline_ms
+  return rst_settings_get_cell (sched->settings)->max_deadline_ms
          + SCHED_RECORD_TTL_MS;
 }
 
@@ -215,7 +215,7 @@
   struct rst_scheduler *sched = inquiry->search->sched;
   struct rst_message message = { 0 };
 
-  message.type = RST_RECORD_ASK;
+  message.type = RST_REQUEST_RECORD_QUERY;
   message.record.key = (char *)inquiry->search->key;
   for (int i = 0; i < zone->member_count; i++)
     {
@@ -245,14 +245,15 @@
                                 0 };
   struct home_inquiry inquiry = { &search, query, false };
 
-  rst_settings_records (sched->settings, score_members, &search);
+  rst_settings_visit_zone_records (sched->settings, score_members, &search);
   if (search.home == NULL || strcmp (search.home, sched->incarnation) != 0)
     return RECORD_ELSEWHERE;
   if (query->idempotent)
     return RECORD_NEW;
   if (may_have_lost_home (&search))
     return RECORD_IN_DOUBT;
-  rst_settings_records (sched->settings, ask_earlier_homes, &inquiry);
+  rst_settings_visit_zone_records (sched->settings, ask_earlier_homes,
+                                   &inquiry);
   if (inquiry.unreachable)
     {
       query->pending_home_replies = 0;
@@ -288,16 +289,16 @@
   struct rst_message reply = { 0 };
   const struct rst_answer *answer;
 
-  reply.type = RST_RECORD;
+  reply.type = RST_REQUEST_RECORD;
   reply.record.key = (char *)key;
   if (record == NULL)
     mark_home_moved (sched, key);
   else if (record->running_query != NULL)
-    reply.record.state = RST_RECORD_RUNNING;
+    reply.record.state = RST_REQUEST_RECORD_RUNNING;
   else if (!record->home_moved)
     {
       answer = &record->answer.answer;
-      reply.record.state = RST_RECORD_ENDED;
+      reply.record.state = RST_REQUEST_RECORD_ENDED;
       reply.record.outcome = answer->outcome;
       reply.record.status = answer->status;
       reply.record.reason = answer->reason;
@@ -312,7 +313,7 @@
 /* Ends a query with the outcome that an earlier home has recorded. */
 static void
 end_with_recorded_answer (struct query *query,
-                          const struct rst_record_message *record)
+                          const struct rst_request_record *record)
 {
   struct rst_answer answer = { 0 };
 
@@ -337,12 +338,12 @@
   (void)link;
   if (query == NULL || query->pending_home_replies == 0)
     return;
-  if (message->record.state == RST_RECORD_ENDED)
+  if (message->record.state == RST_REQUEST_RECORD_ENDED)
     {
       query->pending_home_replies = 0;
       end_with_recorded_answer (query, &message->record);
     }
-  else if (message->record.state == RST_RECORD_RUNNING)
+  else if (message->record.state == RST_REQUEST_RECORD_RUNNING)
     {
       query->pending_home_replies = 0;
       sched_query_end_in_doubt (query, "it runs at its earlier home");
--- a/src/coordination/sched_store.c
+++ b/src/coordination/sched_store.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOG_PREFIX "store"
+#define LOG_DOMAIN "store"
 
 #define KEY_ALIVE "shared/alive/"
 #define KEY_LIMITS "shared/limits/"
@@ -20,8 +20,9 @@
 static void
 note_stopped_members (struct rst_scheduler *sched)
 {
-  const struct rst_cell *cell = rst_settings_cell (sched->settings);
-  char **list = g_strsplit_set (cell->stopped, " ,", -1);
+  const struct rst_cell_settings *cell
+      = rst_settings_get_cell (sched->settings);
+  char **list = g_strsplit_set (cell->stopped_incarnations, " ,", -1);
 
   for (int i = 0; list[i] != NULL; i++)
     if (list[i][0] != '\0')
@@ -45,8 +46,8 @@
     note_stopped_members (sched);
   if (g_str_has_prefix (key, RST_KEY_ZONE_RECORDS))
     sched_record_apply_zone (
-        sched, rst_settings_record (sched->settings,
-                                    key + strlen (RST_KEY_ZONE_RECORDS)));
+        sched, rst_settings_find_zone_record (
+                   sched->settings, key + strlen (RST_KEY_ZONE_RECORDS)));
   if (!g_str_has_prefix (key, RST_KEY_ZONE_RECORDS))
     ;
   else if (strcmp (key + strlen (RST_KEY_ZONE_RECORDS), sched->config.zone)
--- a/src/coordination/sched_task.c
+++ b/src/coordination/sched_task.c
@@ -10,7 +10,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "task"
+#define LOG_DOMAIN "task"
 
 /** How long a rejected start is remembered. */
 #define REJECTION_RETENTION_MS 60000
@@ -164,7 +164,7 @@
       sched_task_format_id (id, sizeof id, request->task_start.job,
                             request->task_start.index,
                             request->task_start.attempt);
-      rst_info (LOG_PREFIX, "Task start was rejected.", "task", id, "team",
+      rst_info (LOG_DOMAIN, "Task start was rejected.", "task", id, "team",
                 request->task_start.team, "zone", sched->config.zone, "reason",
                 reason);
     }
@@ -290,8 +290,8 @@
   run->stopping = false;
   if (run->ended)
     return;
-  if (reply->result == RST_PLATFORM_OK && reply->work_count == 1)
-    sched_run_end (run, (uint64_t)reply->work[0].result);
+  if (reply->result == RST_PLATFORM_OK && reply->run_count == 1)
+    sched_run_end (run, (uint64_t)reply->runs[0].result);
   else if (reply->result == RST_PLATFORM_NOT_FOUND)
     sched_run_end (run, RST_TASK_LOST);
   else
@@ -417,7 +417,7 @@
 must_move (const struct rst_scheduler *sched, const struct instance *instance)
 {
   const struct rst_zone_setting *zone
-      = rst_settings_zone (sched->settings, sched->config.zone);
+      = rst_settings_find_zone (sched->settings, sched->config.zone);
 
   if (instance->info.leaving)
     return true;
--- a/src/coordination/sched_task_find.c
+++ b/src/coordination/sched_task_find.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "task"
+#define LOG_DOMAIN "task"
 
 /* Start requests of owners with an earlier generation are rejected from then
    on. */
--- a/src/coordination/sched_task_start.c
+++ b/src/coordination/sched_task_start.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#define LOG_PREFIX "task"
+#define LOG_DOMAIN "task"
 
 /** How long resources stay reserved without a start request. */
 #define RESERVATION_MS 4000
@@ -19,7 +19,7 @@
   if (!rst_log_enabled (G_LOG_LEVEL_INFO) || run->instance == NULL)
     return;
   g_snprintf (epoch, sizeof epoch, "%" G_GUINT64_FORMAT, run->instance->epoch);
-  rst_info (LOG_PREFIX, message, "task", run->info.id, "team", run->info.team,
+  rst_info (LOG_DOMAIN, message, "task", run->info.id, "team", run->info.team,
             "zone", run->instance->info.zone, "instance",
             run->instance->info.name, "epoch", epoch, "reason", reason);
 }
@@ -53,7 +53,7 @@
   run->pending_calls--;
   if (run->instance == NULL)
     {
-      sched_task_reply_start (run, RST_TASK_UNSURE);
+      sched_task_reply_start (run, RST_TASK_IN_DOUBT);
       g_free (run);
       return;
     }
@@ -63,16 +63,16 @@
       return;
     }
   run->starting = false;
-  if (reply->result == RST_PLATFORM_OK && reply->work_count == 1)
+  if (reply->result == RST_PLATFORM_OK && reply->run_count == 1)
     {
       sched_task_reply_start (run, RST_TASK_RUNNING);
-      sched_run_end (run, (uint64_t)reply->work[0].result);
+      sched_run_end (run, (uint64_t)reply->runs[0].result);
     }
   else
     {
       /* The worker's replies to renewals tell whether it runs the task. */
       run->started_at = sched_now (run->team->sched);
-      sched_task_reply_start (run, RST_TASK_UNSURE);
+      sched_task_reply_start (run, RST_TASK_IN_DOUBT);
     }
 }
 
@@ -101,7 +101,7 @@
   sched_task_log_event (
       run, "Task start is in doubt; the worker's next report decides.",
       "no-answer");
-  sched_task_reply_start (run, RST_TASK_UNSURE);
+  sched_task_reply_start (run, RST_TASK_IN_DOUBT);
 }
 
 static void
@@ -117,8 +117,8 @@
     }
   if (reply->result == RST_PLATFORM_NOT_FOUND)
     sched_run_end (run, RST_TASK_LOST);
-  else if (reply->result == RST_PLATFORM_OK && reply->work_count == 1)
-    sched_run_end (run, (uint64_t)reply->work[0].result);
+  else if (reply->result == RST_PLATFORM_OK && reply->run_count == 1)
+    sched_run_end (run, (uint64_t)reply->runs[0].result);
 }
 
 /* Handles a task whose start is in doubt and which the worker's report does
@@ -169,7 +169,7 @@
     handle_rejected_start (run, rst_platform_result_name (reply->result));
   else if (run->instance == NULL)
     {
-      sched_task_reply_start (run, RST_TASK_UNSURE);
+      sched_task_reply_start (run, RST_TASK_IN_DOUBT);
       g_free (run);
     }
   else if (run->run_once)
@@ -213,7 +213,7 @@
 }
 
 static void
-fill_run_info (struct rst_work *info, const struct rst_task_start *task)
+fill_run_info (struct rst_run_info *info, const struct rst_task_start *task)
 {
   memset (info, 0, sizeof *info);
   sched_task_format_id (info->id, sizeof info->id, task->job, task->index,
@@ -252,7 +252,7 @@
   run->reply_link = link;
   run->reply_id = request->id;
   if (run->reserved)
-    sched_task_reply_start (run, RST_TASK_HELD);
+    sched_task_reply_start (run, RST_TASK_RESERVED);
   else if (!run->starting)
     sched_task_reply_start (run, run->ended ? (uint64_t)run->info.result
                                             : RST_TASK_RUNNING);
@@ -280,7 +280,7 @@
     return "outdated";
   if (sched_task_was_rejected (sched, task))
     return "refused-before";
-  if (rst_settings_team (sched->settings, task->team) == NULL)
+  if (rst_settings_find_team (sched->settings, task->team) == NULL)
     return "unknown-team";
   if (!sched_limit_allows_start (team))
     {
@@ -298,7 +298,7 @@
   struct team *team = sched_team_get (sched, task->team);
   const char *reason = get_rejection_reason (sched, task, team);
   struct instance *instance;
-  struct rst_work info;
+  struct rst_run_info info;
   struct run *run;
 
   fill_run_info (&info, task);
@@ -326,5 +326,5 @@
   run->reply_due = true;
   run->reply_link = link;
   run->reply_id = message->id;
-  sched_task_reply_start (run, RST_TASK_HELD);
+  sched_task_reply_start (run, RST_TASK_RESERVED);
 }
--- a/src/coordination/scheduler.c
+++ b/src/coordination/scheduler.c
@@ -5,7 +5,7 @@
 
 #include "state/json.h"
 
-#define LOG_PREFIX "scheduler"
+#define LOG_DOMAIN "scheduler"
 
 /* A message that the scheduler sends to itself, see SCHED_LINK_SELF. */
 struct local_message
@@ -43,7 +43,7 @@
 const struct rst_zone *
 sched_zone (const struct rst_scheduler *sched)
 {
-  return rst_settings_record (sched->settings, sched->config.zone);
+  return rst_settings_find_zone_record (sched->settings, sched->config.zone);
 }
 
 struct member_search
@@ -66,7 +66,7 @@
 {
   struct member_search search = { incarnation, false };
 
-  rst_settings_records (sched->settings, match_member, &search);
+  rst_settings_visit_zone_records (sched->settings, match_member, &search);
   return search.found;
 }
 
@@ -82,7 +82,8 @@
 {
   return !sched->stopping
          && (RST_FAULT (RST_FAULT_START_IN_REMOVED_ZONE)
-             || !rst_settings_zone_out (sched->settings, sched->config.zone))
+             || !rst_settings_is_zone_out (sched->settings,
+                                           sched->config.zone))
          && rst_tenure_is_held (sched->tenure, sched_now (sched));
 }
 
@@ -213,16 +214,16 @@
     case RST_HELLO:
       sched_peer_handle_hello (sched, peer, message);
       break;
-    case RST_PROMISE_ASK:
+    case RST_PROMISE_REQUEST:
       sched_member_handle_promise_request (sched, peer, message);
       break;
     case RST_PROMISE:
       sched_member_handle_promise (sched, peer, message);
       break;
-    case RST_DIGEST:
+    case RST_SETTINGS_DIGEST:
       sched_peer_handle_digest (sched, peer, message);
       break;
-    case RST_BRANCH:
+    case RST_SETTINGS_BRANCH:
       sched_apply_branch (sched, message->branch.key, message->branch.revision,
                           message->branch.value.data);
       break;
@@ -249,10 +250,10 @@
     case RST_ANSWER:
       sched_query_handle_answer (sched, link, message);
       break;
-    case RST_RECORD_ASK:
+    case RST_REQUEST_RECORD_QUERY:
       sched_record_handle_request (sched, link, message);
       break;
-    case RST_RECORD:
+    case RST_REQUEST_RECORD:
       sched_record_handle_reply (sched, link, message);
       break;
     case RST_JOB_CALL:
@@ -267,7 +268,7 @@
     case RST_TASK_STOP:
       sched_task_handle_stop (sched, link, message);
       break;
-    case RST_TASK_END_SEEN:
+    case RST_TASK_END_ACK:
       sched_task_handle_end_ack (sched, message);
       break;
     case RST_TASK_FIND:
@@ -379,7 +380,7 @@
 {
   if (sched->stopping)
     return;
-  rst_info (LOG_PREFIX, "Planned stop begins.");
+  rst_info (LOG_DOMAIN, "Planned stop begins.");
   sched->stopping = true;
   sched->stop_began_at = sched_now (sched);
   sched->load_changed = true;
@@ -394,7 +395,8 @@
 bool
 rst_scheduler_is_ready (const struct rst_scheduler *sched)
 {
-  return !sched->stopping && rst_settings_newest (sched->settings) > 0
+  return !sched->stopping
+         && rst_settings_get_newest_revision (sched->settings) > 0
          && rst_tenure_is_held (sched->tenure, sched_now (sched));
 }
 
@@ -431,8 +433,8 @@
   struct branch_status *status = userdata;
   struct json_object *item = json_object_new_object ();
   uint64_t refused_revision;
-  const char *problem
-      = rst_settings_problem (status->sched->settings, key, &refused_revision);
+  const char *problem = rst_settings_get_problem (status->sched->settings, key,
+                                                  &refused_revision);
 
   (void)value;
   rst_json_set_text (item, "key", key);
@@ -450,7 +452,7 @@
 format_entries (struct rst_scheduler *sched)
 {
   struct json_object *list = json_object_new_array ();
-  uint64_t hash = rst_settings_hash (sched->settings);
+  uint64_t hash = rst_settings_get_hash (sched->settings);
   GHashTableIter iterator;
   gpointer value;
 
@@ -538,13 +540,15 @@
                      rst_tenure_is_held (sched->tenure, now));
   if (missing != NULL)
     rst_json_set_text (root, "promise_missing_from", missing);
-  rst_json_set_number (root, "newest",
-                       (int64_t)rst_settings_newest (sched->settings));
-  rst_settings_visit (sched->settings, append_branch_status, &branches);
+  rst_json_set_number (
+      root, "newest",
+      (int64_t)rst_settings_get_newest_revision (sched->settings));
+  rst_settings_visit_branches (sched->settings, append_branch_status,
+                               &branches);
   json_object_object_add (root, "branches", branches.list);
   json_object_object_add (root, "entries", format_entries (sched));
   json_object_object_add (root, "instances", format_instances (sched));
   json_object_object_add (root, "teams", format_teams (sched));
   sched_job_add_status (sched, root);
-  return rst_json_release (root);
+  return rst_json_format_and_release (root);
 }
--- a/src/coordination/scheduler_private.h
+++ b/src/coordination/scheduler_private.h
@@ -277,7 +277,7 @@
  */
 struct run
 {
-  struct rst_work info;
+  struct rst_run_info info;
   struct instance *instance;
   struct team *team;
   int pending_calls;
@@ -588,7 +588,7 @@
 bool sched_instance_is_usable (const struct rst_scheduler *sched,
                                const struct instance *instance);
 struct run *sched_run_add (struct instance *instance,
-                           const struct rst_work *info);
+                           const struct rst_run_info *info);
 struct run *sched_run_find (const struct instance *instance, const char *id);
 void sched_run_remove (struct run *run);
 void sched_run_release_resources (struct run *run);
--- a/src/daemon/cell_loop.c
+++ b/src/daemon/cell_loop.c
@@ -149,17 +149,17 @@
   struct rst_net_config config = { 0 };
 
   config.listen = address;
-  config.max_frame = LINK_FRAME_MAX;
-  config.max_buffered = LINK_BUFFER_MAX;
-  config.heartbeat_ms = LINK_HEARTBEAT_MS;
-  config.silent_ms = LINK_SILENT_MS;
+  config.max_frame_bytes = LINK_FRAME_MAX;
+  config.max_unsent_bytes = LINK_BUFFER_MAX;
+  config.heartbeat_interval_ms = LINK_HEARTBEAT_MS;
+  config.receive_timeout_ms = LINK_SILENT_MS;
   config.handler = on_net;
   config.userdata = loop;
   return rst_net_create (&config, &loop->net);
 }
 
 const char *
-rst_cell_loop_address (const struct rst_cell_loop *loop)
+rst_cell_loop_get_address (const struct rst_cell_loop *loop)
 {
   return rst_net_address (loop->net);
 }
@@ -359,8 +359,8 @@
 }
 
 const struct rst_backend *
-rst_cell_loop_backend (struct rst_cell_loop *loop,
-                       const struct rst_backend *backend)
+rst_cell_loop_wrap_backend (struct rst_cell_loop *loop,
+                            const struct rst_backend *backend)
 {
   struct rst_backend table
       = { store_get, store_range, store_watch, store_commit, hold,
@@ -393,9 +393,9 @@
 }
 
 int
-rst_cell_loop_serve (struct rst_cell_loop *loop,
-                     const struct rst_http_server_config *config,
-                     struct rst_http_server **out)
+rst_cell_loop_start_http_server (struct rst_cell_loop *loop,
+                                 const struct rst_http_server_config *config,
+                                 struct rst_http_server **out)
 {
   struct rst_http_server_config posted = *config;
   /* Lives as long as the process; a server's last requests need it. */
@@ -410,8 +410,9 @@
 }
 
 int
-rst_cell_loop_serve_page (struct rst_cell_loop *loop, const char *address,
-                          rst_http_handler handler, void *userdata)
+rst_cell_loop_start_page_server (struct rst_cell_loop *loop,
+                                 const char *address, rst_http_handler handler,
+                                 void *userdata)
 {
   struct rst_http_server_config config = { 0 };
   struct rst_http_server *server;
@@ -419,12 +420,12 @@
   if (address[0] == '\0')
     return RST_TRANSPORT_OK;
   config.address = address;
-  config.max_body = PAGE_BODY_MAX;
+  config.max_body_bytes = PAGE_BODY_MAX;
   config.max_connections = PAGE_READERS_MAX;
   config.idle_timeout_s = PAGE_IDLE_S;
   config.handler = handler;
   config.userdata = userdata;
-  return rst_cell_loop_serve (loop, &config, &server);
+  return rst_cell_loop_start_http_server (loop, &config, &server);
 }
 
 static void
@@ -441,14 +442,15 @@
 {
   struct stop_event *event = userdata;
 
-  rst_os_wait_stop ();
+  rst_os_wait_stop_signal ();
   rst_cell_loop_post (event->loop, &event->event);
   return NULL;
 }
 
 void
-rst_cell_loop_await_stop (struct rst_cell_loop *loop,
-                          void (*begin) (void *userdata), void *userdata)
+rst_cell_loop_watch_stop_signals (struct rst_cell_loop *loop,
+                                  void (*begin) (void *userdata),
+                                  void *userdata)
 {
   struct stop_event *event = g_new0 (struct stop_event, 1);
   pthread_t thread;
--- a/src/daemon/cell_loop.h
+++ b/src/daemon/cell_loop.h
@@ -48,12 +48,12 @@
  * rst_cell_loop_listen() - Starts the net.
  * @address: Where to listen, or NULL.
  *
- * Return: RST_TRANSPORT_OK or RST_TRANSPORT_ADDRESS.
+ * Return: RST_TRANSPORT_OK or RST_TRANSPORT_BAD_ADDRESS.
  */
 int rst_cell_loop_listen (struct rst_cell_loop *loop, const char *address);
 
-/** rst_cell_loop_address() - The listening address with its real port. */
-const char *rst_cell_loop_address (const struct rst_cell_loop *loop);
+/** rst_cell_loop_get_address() - The listening address with its real port. */
+const char *rst_cell_loop_get_address (const struct rst_cell_loop *loop);
 
 /** rst_cell_loop_open_link() - Opens a link; @loop is a struct rst_cell_loop,
     so that this and the next two serve as callbacks. */
@@ -71,43 +71,46 @@
                          struct rst_cell_event *event);
 
 /**
- * rst_cell_loop_backend() - The same calls with callbacks on the loop.
+ * rst_cell_loop_wrap_backend() - The same calls with callbacks on the loop.
  * @backend: The calls; their callbacks may come on any thread.
  */
 const struct rst_backend *
-rst_cell_loop_backend (struct rst_cell_loop *loop,
-                       const struct rst_backend *backend);
+rst_cell_loop_wrap_backend (struct rst_cell_loop *loop,
+                            const struct rst_backend *backend);
 
 /**
- * rst_cell_loop_serve() - Starts an HTTP server whose handler runs on the
- * loop's thread.
+ * rst_cell_loop_start_http_server() - Starts an HTTP server whose handler runs
+ * on the loop's thread.
  * @config: How the server is set up; copied.
  * @out: Receives the server.
  *
- * Return: RST_TRANSPORT_OK or RST_TRANSPORT_ADDRESS.
+ * Return: RST_TRANSPORT_OK or RST_TRANSPORT_BAD_ADDRESS.
  */
-int rst_cell_loop_serve (struct rst_cell_loop *loop,
-                         const struct rst_http_server_config *config,
-                         struct rst_http_server **out);
+int
+rst_cell_loop_start_http_server (struct rst_cell_loop *loop,
+                                 const struct rst_http_server_config *config,
+                                 struct rst_http_server **out);
 
 /**
- * rst_cell_loop_serve_page() - Serves a page of text to a few readers.
+ * rst_cell_loop_start_page_server() - Serves a page of text to a few readers.
  * @address: Where; with "" nothing is served.
  * @handler: Answers a request, on the loop's thread.
  *
- * Return: RST_TRANSPORT_OK or RST_TRANSPORT_ADDRESS.
+ * Return: RST_TRANSPORT_OK or RST_TRANSPORT_BAD_ADDRESS.
  */
-int rst_cell_loop_serve_page (struct rst_cell_loop *loop, const char *address,
-                              rst_http_handler handler, void *userdata);
+int rst_cell_loop_start_page_server (struct rst_cell_loop *loop,
+                                     const char *address,
+                                     rst_http_handler handler, void *userdata);
 
 /**
- * rst_cell_loop_await_stop() - Calls @begin on the loop's thread once the
- * process is asked to stop.
+ * rst_cell_loop_watch_stop_signals() - Calls @begin on the loop's thread once
+ * the process is asked to stop.
  *
  * Signals must be blocked in all threads, see rst_os_block_signals().
  */
-void rst_cell_loop_await_stop (struct rst_cell_loop *loop,
-                               void (*begin) (void *userdata), void *userdata);
+void rst_cell_loop_watch_stop_signals (struct rst_cell_loop *loop,
+                                       void (*begin) (void *userdata),
+                                       void *userdata);
 
 /** rst_cell_loop_run() - Runs until rst_cell_loop_stop(). */
 void rst_cell_loop_run (struct rst_cell_loop *loop);
--- a/src/daemon/cell_metrics.c
+++ b/src/daemon/cell_metrics.c
@@ -9,8 +9,9 @@
 static const struct rst_metrics_label no_label = { NULL, NULL };
 
 void
-rst_call_stats_add (struct rst_call_stats *stats, enum rst_operation operation,
-                    unsigned status, int64_t took_ms)
+rst_call_stats_record (struct rst_call_stats *stats,
+                       enum rst_operation operation, unsigned status,
+                       int64_t took_ms)
 {
   int kind = 0;
   int row = (int)operation - RST_OPERATION_SUBMIT;
@@ -34,36 +35,38 @@
       if (stats->answers[row][i] == 0)
         continue;
       g_snprintf (label, sizeof label, "%s %u", operation, statuses[i]);
-      rst_metrics_sample (page, "answers_total", both,
-                          (double)stats->answers[row][i]);
+      rst_metrics_add_sample (page, "answers_total", both,
+                              (double)stats->answers[row][i]);
     }
 }
 
 char *
-rst_call_metrics_page (const struct rst_call_stats *stats, unsigned waiting,
-                       bool ready)
+rst_call_metrics_format_page (const struct rst_call_stats *stats,
+                              unsigned waiting, bool ready)
 {
   static const char *const operations[RST_OPERATION_KINDS]
       = { "submit", "read", "cancel" };
   GString *page = g_string_new (NULL);
 
-  rst_metrics_gauge (page, "ready", "Whether callers can be served.", ready);
-  rst_metrics_gauge (page, "calls_waiting", "Calls without an answer so far.",
-                     waiting);
-  rst_metrics_family (page, "answers_total", "counter",
-                      "Answers by operation and status; 0 is any other.");
+  rst_metrics_add_gauge (page, "ready", "Whether callers can be served.",
+                         ready);
+  rst_metrics_add_gauge (page, "calls_waiting",
+                         "Calls without an answer so far.", waiting);
+  rst_metrics_begin_family (
+      page, "answers_total", "counter",
+      "Answers by operation and status; 0 is any other.");
   for (int i = 0; i < RST_OPERATION_KINDS; i++)
     add_answers (page, stats, i, operations[i]);
-  rst_metrics_family (page, "answer_seconds", "histogram",
-                      "Time to the answer.");
+  rst_metrics_begin_family (page, "answer_seconds", "histogram",
+                            "Time to the answer.");
   for (int i = 0; i < RST_OPERATION_KINDS; i++)
     {
       struct rst_metrics_label label = { "operation", operations[i] };
 
-      rst_metrics_histogram (page, "answer_seconds", label,
-                             &stats->answer_ms[i]);
+      rst_metrics_add_histogram (page, "answer_seconds", label,
+                                 &stats->answer_ms[i]);
     }
-  rst_metrics_process (page);
+  rst_metrics_add_process (page);
   return g_string_free (page, FALSE);
 }
 
@@ -73,66 +76,71 @@
   static const char *const names[RST_END_KINDS]
       = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
 
-  rst_metrics_family (page, "run_ends_total", "counter",
-                      "Runs ended, by how.");
+  rst_metrics_begin_family (page, "run_ends_total", "counter",
+                            "Runs ended, by how.");
   for (int i = 0; i < RST_END_KINDS; i++)
     {
       struct rst_metrics_label label = { "how", names[i] };
 
-      rst_metrics_sample (page, "run_ends_total", label,
-                          (double)stats->ends[i]);
+      rst_metrics_add_sample (page, "run_ends_total", label,
+                              (double)stats->ends[i]);
     }
 }
 
 static void
 add_sizes (GString *page, const struct rst_planner_stats *stats)
 {
-  rst_metrics_gauge (page, "jobs", "Jobs known.", (double)stats->jobs);
-  rst_metrics_gauge (page, "instances", "Instances registered.",
-                     (double)stats->instances);
-  rst_metrics_gauge (page, "instances_known",
-                     "Instances whose runs are known.",
-                     (double)stats->instances_known);
-  rst_metrics_gauge (page, "agents", "Agents linked.", (double)stats->agents);
-  rst_metrics_gauge (page, "waiting_steps",
-                     "Steps with tasks that wait for a place.",
-                     (double)stats->waiting_steps);
+  rst_metrics_add_gauge (page, "jobs", "Jobs known.", (double)stats->jobs);
+  rst_metrics_add_gauge (page, "instances", "Instances registered.",
+                         (double)stats->instances);
+  rst_metrics_add_gauge (page, "instances_known",
+                         "Instances whose runs are known.",
+                         (double)stats->instances_known);
+  rst_metrics_add_gauge (page, "agents", "Agents linked.",
+                         (double)stats->agents);
+  rst_metrics_add_gauge (page, "waiting_steps",
+                         "Steps with tasks that wait for a place.",
+                         (double)stats->waiting_steps);
 }
 
 static void
 add_counters (GString *page, const struct rst_planner_stats *stats)
 {
-  rst_metrics_counter (page, "jobs_accepted_total", "Jobs handed in.",
-                       stats->accepted);
-  rst_metrics_counter (page, "jobs_completed_total", "Jobs that completed.",
-                       stats->completed);
-  rst_metrics_counter (page, "jobs_failed_total", "Jobs that failed.",
-                       stats->failed);
-  rst_metrics_counter (page, "jobs_cancelled_total", "Jobs cancelled.",
-                       stats->cancelled);
-  rst_metrics_counter (page, "starts_total", "Starts ordered.", stats->starts);
-  rst_metrics_counter (page, "starts_failed_total",
-                       "Starts that did not succeed.", stats->starts_failed);
-  rst_metrics_counter (page, "advice_calls_total", "Calls for advice.",
-                       stats->advice_calls);
-  rst_metrics_counter (page, "advice_failed_total",
-                       "Calls for advice without a usable answer.",
-                       stats->advice_failed);
-  rst_metrics_counter (page, "paced_total", "Orders on the pace of tasks.",
-                       stats->pace_orders);
-  rst_metrics_counter (page, "commits_total", "Segments appended.",
-                       stats->commits);
+  rst_metrics_add_counter (page, "jobs_accepted_total", "Jobs handed in.",
+                           stats->accepted);
+  rst_metrics_add_counter (page, "jobs_completed_total",
+                           "Jobs that completed.", stats->completed);
+  rst_metrics_add_counter (page, "jobs_failed_total", "Jobs that failed.",
+                           stats->failed);
+  rst_metrics_add_counter (page, "jobs_cancelled_total", "Jobs cancelled.",
+                           stats->cancelled);
+  rst_metrics_add_counter (page, "starts_total", "Starts ordered.",
+                           stats->starts);
+  rst_metrics_add_counter (page, "starts_failed_total",
+                           "Starts that did not succeed.",
+                           stats->starts_failed);
+  rst_metrics_add_counter (page, "advice_calls_total", "Calls for advice.",
+                           stats->advice_calls);
+  rst_metrics_add_counter (page, "advice_failed_total",
+                           "Calls for advice without a usable answer.",
+                           stats->advice_failed);
+  rst_metrics_add_counter (page, "paced_total", "Orders on the pace of tasks.",
+                           stats->pace_orders);
+  rst_metrics_add_counter (page, "commits_total", "Segments appended.",
+                           stats->commits);
 }
 
 static void
 add_latencies (GString *page, const struct rst_planner_stats *stats)
 {
-  rst_metrics_family (page, "commit_seconds", "histogram",
-                      "Time from a commit to the store's word.");
-  rst_metrics_histogram (page, "commit_seconds", no_label, &stats->commit_ms);
-  rst_metrics_family (page, "advice_seconds", "histogram",
-                      "Time from a call for advice to its answer.");
-  rst_metrics_histogram (page, "advice_seconds", no_label, &stats->advice_ms);
+  rst_metrics_begin_family (page, "commit_seconds", "histogram",
+                            "Time from a commit to the store's word.");
+  rst_metrics_add_histogram (page, "commit_seconds", no_label,
+                             &stats->commit_ms);
+  rst_metrics_begin_family (page, "advice_seconds", "histogram",
+                            "Time from a call for advice to its answer.");
+  rst_metrics_add_histogram (page, "advice_seconds", no_label,
+                             &stats->advice_ms);
 }
 
 static void
@@ -140,8 +148,8 @@
 {
   struct rst_metrics_label label = { "queue", queue->name };
 
-  rst_metrics_sample (userdata, "queue_pending", label,
-                      (double)queue->pending);
+  rst_metrics_add_sample (userdata, "queue_pending", label,
+                          (double)queue->pending);
 }
 
 static void
@@ -149,8 +157,8 @@
 {
   struct rst_metrics_label label = { "queue", queue->name };
 
-  rst_metrics_histogram (userdata, "first_start_seconds", label,
-                         &queue->first_start_ms);
+  rst_metrics_add_histogram (userdata, "first_start_seconds", label,
+                             &queue->first_start_ms);
 }
 
 static void
@@ -158,32 +166,33 @@
 {
   struct rst_metrics_label label = { "queue", queue->name };
 
-  rst_metrics_histogram (userdata, "job_seconds", label, &queue->job_ms);
+  rst_metrics_add_histogram (userdata, "job_seconds", label, &queue->job_ms);
 }
 
 static void
 add_queues (GString *page, const struct rst_planner *planner)
 {
-  rst_metrics_family (page, "queue_pending", "gauge",
-                      "Jobs of which no task has started.");
+  rst_metrics_begin_family (page, "queue_pending", "gauge",
+                            "Jobs of which no task has started.");
   rst_planner_foreach_queue (planner, add_pending, page);
-  rst_metrics_family (page, "first_start_seconds", "histogram",
-                      "Time from handing a job in to the first order for it.");
+  rst_metrics_begin_family (
+      page, "first_start_seconds", "histogram",
+      "Time from handing a job in to the first order for it.");
   rst_planner_foreach_queue (planner, add_first_start, page);
-  rst_metrics_family (page, "job_seconds", "histogram",
-                      "Time from handing a job in to its completion.");
+  rst_metrics_begin_family (page, "job_seconds", "histogram",
+                            "Time from handing a job in to its completion.");
   rst_planner_foreach_queue (planner, add_job_time, page);
 }
 
 char *
-rst_cell_metrics_page (const struct rst_cell_node *node)
+rst_cell_metrics_format_page (const struct rst_cell_node *node)
 {
-  const struct rst_planner *planner = rst_cell_node_planner (node);
+  const struct rst_planner *planner = rst_cell_node_get_planner (node);
   GString *page = g_string_new (NULL);
   struct rst_planner_stats stats;
 
-  rst_metrics_gauge (page, "is_planner", "Whether this process plans.",
-                     planner != NULL);
+  rst_metrics_add_gauge (page, "is_planner", "Whether this process plans.",
+                         planner != NULL);
   if (planner != NULL)
     {
       rst_planner_read_stats (planner, &stats);
@@ -193,6 +202,6 @@
       add_latencies (page, &stats);
       add_queues (page, planner);
     }
-  rst_metrics_process (page);
+  rst_metrics_add_process (page);
   return g_string_free (page, FALSE);
 }
--- a/src/daemon/cell_metrics.h
+++ b/src/daemon/cell_metrics.h
@@ -16,7 +16,7 @@
 
 /**
  * struct rst_call_stats - Callers' calls as one entry instance answered them.
- * @answers: Answers by operation and status, see rst_call_stats_add().
+ * @answers: Answers by operation and status, see rst_call_stats_record().
  * @answer_ms: Time to the answer, by operation.
  */
 struct rst_call_stats
@@ -25,21 +25,22 @@
   struct rst_histogram answer_ms[RST_OPERATION_KINDS];
 };
 
-/** rst_call_stats_add() - Counts an answered call. */
-void rst_call_stats_add (struct rst_call_stats *stats,
-                         enum rst_operation operation, unsigned status,
-                         int64_t took_ms);
+/** rst_call_stats_record() - Counts an answered call. */
+void rst_call_stats_record (struct rst_call_stats *stats,
+                            enum rst_operation operation, unsigned status,
+                            int64_t took_ms);
 
 /**
- * rst_call_metrics_page() - jobd's page, to be freed with g_free().
+ * rst_call_metrics_format_page() - jobd's page, to be freed with g_free().
  * @stats: Calls answered.
  * @waiting: Calls without an answer so far.
  * @ready: Whether callers can be served.
  */
-char *rst_call_metrics_page (const struct rst_call_stats *stats,
-                             unsigned waiting, bool ready);
+char *rst_call_metrics_format_page (const struct rst_call_stats *stats,
+                                    unsigned waiting, bool ready);
 
-/** rst_cell_metrics_page() - celld's page, to be freed with g_free(). */
-char *rst_cell_metrics_page (const struct rst_cell_node *node);
+/** rst_cell_metrics_format_page() - celld's page, to be freed with g_free().
+ */
+char *rst_cell_metrics_format_page (const struct rst_cell_node *node);
 
 #endif
--- a/src/daemon/cell_node.c
+++ b/src/daemon/cell_node.c
@@ -7,13 +7,13 @@
 #include "daemon/term.h"
 #include "util/log.h"
 
-#define LOG_PREFIX "node"
+#define LOG_DOMAIN "node"
 
 /** A lease is asked for this much below the bound on its length. */
 #define LEASE_MARGIN_MS 100
 
 /** Longest wait for the last commit at a planned stop. */
-#define RESIGN_MS 1000
+#define RESIGN_TIMEOUT_MS 1000
 
 struct rst_cell_node
 {
@@ -21,11 +21,11 @@
   struct rst_agent *agent;
   struct rst_planner_client *planner_client;
   struct rst_term *term;
-  bool term_over;
-  char former[RST_ADDRESS_SIZE];
-  uint64_t former_link;
+  bool term_ended;
+  char previous_planner[RST_ADDRESS_SIZE];
+  uint64_t previous_planner_link;
   bool stopping;
-  rst_ms stop_by;
+  rst_ms stop_deadline;
 };
 
 static uint64_t
@@ -53,7 +53,7 @@
 }
 
 static void
-agent_send (void *userdata, const void *data, size_t length)
+send_to_planner (void *userdata, const void *data, size_t length)
 {
   struct rst_cell_node *node = userdata;
 
@@ -69,7 +69,7 @@
 }
 
 static void
-on_linked (void *userdata, bool serving)
+on_connected (void *userdata, bool serving)
 {
   struct rst_cell_node *node = userdata;
 
@@ -78,13 +78,13 @@
 }
 
 static void
-on_lost (void *userdata)
+on_disconnected (void *userdata)
 {
   (void)userdata;
 }
 
 static void
-on_alive (void *userdata, rst_ms store_age_ms)
+on_heartbeat (void *userdata, rst_ms store_age_ms)
 {
   struct rst_cell_node *node = userdata;
 
@@ -96,22 +96,22 @@
 {
   struct rst_cell_node *node = userdata;
 
-  node->term_over = true;
+  node->term_ended = true;
 }
 
 /* The former planner may not reach the store, but its peers. */
 static void
-on_term_won (void *userdata)
+on_term_elected (void *userdata)
 {
   struct rst_cell_node *node = userdata;
 
-  if (node->former[0] != '\0'
-      && strcmp (node->former, node->config.address) != 0)
-    node->former_link = open_link (node, node->former);
+  if (node->previous_planner[0] != '\0'
+      && strcmp (node->previous_planner, node->config.address) != 0)
+    node->previous_planner_link = open_link (node, node->previous_planner);
 }
 
 static void
-tell_former (struct rst_cell_node *node)
+send_redirect (struct rst_cell_node *node)
 {
   struct rst_pack pack;
 
@@ -119,15 +119,16 @@
     return;
   rst_pack_init (&pack, 3);
   rst_pack_int (&pack, RST_MSG_REDIRECT);
-  rst_pack_int (&pack, rst_term_epoch (node->term));
+  rst_pack_int (&pack, rst_term_get_epoch (node->term));
   rst_pack_text (&pack, node->config.address);
-  send_frame (node, node->former_link, pack.buffer.data, pack.buffer.size);
+  send_frame (node, node->previous_planner_link, pack.buffer.data,
+              pack.buffer.size);
   rst_pack_clear (&pack);
 }
 
 static void
-on_take (void *userdata, int64_t revision,
-         const struct rst_planner_record *record)
+start_term (void *userdata, int64_t revision,
+            const struct rst_planner_record *record)
 {
   struct rst_cell_node *node = userdata;
   struct rst_term_config config = { 0 };
@@ -139,19 +140,21 @@
   config.unix_now = node->config.unix_now;
   config.send = send_frame;
   config.close = close_link;
-  config.won = on_term_won;
+  config.won = on_term_elected;
   config.ended = on_term_ended;
   config.userdata = node;
   config.timing = node->config.timing;
   config.name = node->config.name;
   config.address = node->config.address;
-  g_strlcpy (node->former, record->address, sizeof node->former);
+  g_strlcpy (node->previous_planner, record->address,
+             sizeof node->previous_planner);
   node->term = rst_term_create (&config, revision, record);
 }
 
 void
-rst_cell_node_link (struct rst_cell_node *node, enum rst_net_event event,
-                    uint64_t link, const void *data, size_t length)
+rst_cell_node_handle_link_event (struct rst_cell_node *node,
+                                 enum rst_net_event event, uint64_t link,
+                                 const void *data, size_t length)
 {
   bool ours = rst_planner_client_owns_link (node->planner_client, link);
 
@@ -161,22 +164,22 @@
     rst_planner_client_handle_frame (node->planner_client, data, length);
   else if (event == RST_NET_CLOSED && ours)
     rst_planner_client_link_closed (node->planner_client);
-  else if (event == RST_NET_OPENED && link == node->former_link)
-    tell_former (node);
+  else if (event == RST_NET_OPENED && link == node->previous_planner_link)
+    send_redirect (node);
   else if (event == RST_NET_FRAME && node->term != NULL)
-    rst_term_frame (node->term, link, data, length);
+    rst_term_handle_frame (node->term, link, data, length);
   else if (event == RST_NET_FRAME)
     close_link (node, link);
   else if (event == RST_NET_CLOSED && node->term != NULL)
-    rst_term_link_closed (node->term, link);
+    rst_term_handle_link_closed (node->term, link);
 }
 
 static void
-end_term (struct rst_cell_node *node)
+destroy_term (struct rst_cell_node *node)
 {
   rst_term_destroy (node->term);
   node->term = NULL;
-  node->term_over = false;
+  node->term_ended = false;
 }
 
 rst_ms
@@ -185,41 +188,42 @@
   rst_ms wake = rst_agent_run (node->agent);
 
   wake = MIN (wake, rst_planner_client_run (node->planner_client));
-  if (node->term != NULL && !node->term_over)
+  if (node->term != NULL && !node->term_ended)
     wake = MIN (wake, rst_term_run (node->term));
-  if (node->term_over)
-    end_term (node);
+  if (node->term_ended)
+    destroy_term (node);
   return wake;
 }
 
 void
-rst_cell_node_stop (struct rst_cell_node *node)
+rst_cell_node_begin_stop (struct rst_cell_node *node)
 {
-  rst_info (LOG_PREFIX, "Planned stop.");
+  rst_info (LOG_DOMAIN, "Planned stop.");
   node->stopping = true;
-  node->stop_by = node->config.now () + RESIGN_MS;
+  node->stop_deadline = node->config.now () + RESIGN_TIMEOUT_MS;
   if (node->term != NULL)
     rst_term_resign (node->term);
 }
 
 bool
-rst_cell_node_stopped (const struct rst_cell_node *node)
+rst_cell_node_is_stopped (const struct rst_cell_node *node)
 {
   return node->stopping
-         && (node->term == NULL || rst_term_idle (node->term)
-             || node->config.now () >= node->stop_by);
+         && (node->term == NULL || rst_term_is_idle (node->term)
+             || node->config.now () >= node->stop_deadline);
 }
 
 bool
-rst_cell_node_plans (const struct rst_cell_node *node)
+rst_cell_node_is_planner (const struct rst_cell_node *node)
 {
-  return node->term != NULL && !node->term_over;
+  return node->term != NULL && !node->term_ended;
 }
 
 const struct rst_planner *
-rst_cell_node_planner (const struct rst_cell_node *node)
+rst_cell_node_get_planner (const struct rst_cell_node *node)
 {
-  return rst_cell_node_plans (node) ? rst_term_planner (node->term) : NULL;
+  return rst_cell_node_is_planner (node) ? rst_term_get_planner (node->term)
+                                         : NULL;
 }
 
 struct rst_cell_node *
@@ -234,7 +238,7 @@
   node->config.zone = g_strdup (config->zone);
   node->config.address = g_strdup (config->address);
   agent.backend = config->backend;
-  agent.send = agent_send;
+  agent.send = send_to_planner;
   agent.now = config->now;
   agent.userdata = node;
   agent.lease_ms = config->timing.lease_ms - LEASE_MARGIN_MS;
@@ -246,10 +250,10 @@
   planner_client.close = close_link;
   planner_client.send = send_frame;
   planner_client.on_message = on_message;
-  planner_client.on_connected = on_linked;
-  planner_client.on_disconnected = on_lost;
-  planner_client.on_heartbeat = on_alive;
-  planner_client.take_over = on_take;
+  planner_client.on_connected = on_connected;
+  planner_client.on_disconnected = on_disconnected;
+  planner_client.on_heartbeat = on_heartbeat;
+  planner_client.take_over = start_term;
   planner_client.userdata = node;
   planner_client.role = RST_ROLE_AGENT;
   planner_client.name = node->config.name;
--- a/src/daemon/cell_node.h
+++ b/src/daemon/cell_node.h
@@ -53,24 +53,25 @@
 /** rst_cell_node_destroy() - Frees a node without calls under way. */
 void rst_cell_node_destroy (struct rst_cell_node *node);
 
-/** rst_cell_node_link() - Something happened to a link. */
-void rst_cell_node_link (struct rst_cell_node *node, enum rst_net_event event,
-                         uint64_t link, const void *data, size_t length);
+/** rst_cell_node_handle_link_event() - Something happened to a link. */
+void rst_cell_node_handle_link_event (struct rst_cell_node *node,
+                                      enum rst_net_event event, uint64_t link,
+                                      const void *data, size_t length);
 
 /** rst_cell_node_run() - Does what is due; returns when to be called again. */
 rst_ms rst_cell_node_run (struct rst_cell_node *node);
 
-/** rst_cell_node_stop() - Begins a planned stop. */
-void rst_cell_node_stop (struct rst_cell_node *node);
+/** rst_cell_node_begin_stop() - Begins a planned stop. */
+void rst_cell_node_begin_stop (struct rst_cell_node *node);
 
-/** rst_cell_node_stopped() - Whether a planned stop is complete. */
-bool rst_cell_node_stopped (const struct rst_cell_node *node);
+/** rst_cell_node_is_stopped() - Whether a planned stop is complete. */
+bool rst_cell_node_is_stopped (const struct rst_cell_node *node);
 
-/** rst_cell_node_plans() - Whether the node is the planner. */
-bool rst_cell_node_plans (const struct rst_cell_node *node);
+/** rst_cell_node_is_planner() - Whether the node is the planner. */
+bool rst_cell_node_is_planner (const struct rst_cell_node *node);
 
-/** rst_cell_node_planner() - The node's planner, or NULL. */
+/** rst_cell_node_get_planner() - The node's planner, or NULL. */
 const struct rst_planner *
-rst_cell_node_planner (const struct rst_cell_node *node);
+rst_cell_node_get_planner (const struct rst_cell_node *node);
 
 #endif
--- a/src/daemon/celld.c
+++ b/src/daemon/celld.c
@@ -18,26 +18,26 @@
 #include "util/os.h"
 #include "util/program.h"
 
-#define LOG_PREFIX "celld"
+#define LOG_DOMAIN "celld"
 
 /** Bound on open connections to the store, the advice service, instances. */
 #define CONNECTIONS_MAX 1500
 
 /** Bound on connections to one address, well below an instance's own. */
-#define PER_HOST_MAX 8
+#define CONNECTIONS_PER_HOST_MAX 8
 
 /** How long leases are extended without the store's word for the planner. */
-#define KEEP_MS 5000
+#define UNCONFIRMED_RENEWAL_MS 5000
 
 /** Largest share of the wait before taking over that is a process's own. */
-#define JITTER_MS 120
+#define TAKEOVER_JITTER_MS 120
 
 /** Machines below this share of a core, or this many Mbit/s, are small. */
-#define SMALL_SHARE 0.2
-#define SMALL_LINK 50.0
+#define SMALL_MACHINE_CPU_SHARE 0.2
+#define SMALL_MACHINE_LINK_MBPS 50.0
 
 /** How much longer a small machine waits before it takes over. */
-#define RESERVE_MS 400
+#define STANDBY_DELAY_MS 400
 
 struct settings
 {
@@ -47,7 +47,7 @@
   char store[RST_ADDRESS_SIZE];
   char advice[RST_ADDRESS_SIZE];
   char metrics[RST_ADDRESS_SIZE];
-  int64_t hold_max_ms;
+  int64_t lease_max_ms;
   int64_t status_s;
   int64_t early_ms;
   char cpu_share[16];
@@ -59,9 +59,9 @@
     = { "error", "warning", "info", "debug", NULL };
 
 #define TEXT(path, type, required, member)                                    \
-  RST_CONF_TEXT (path, type, required, struct settings, member)
+  RST_CONF_STRING_FIELD (path, type, required, struct settings, member)
 #define INT(path, member, min, max)                                           \
-  RST_CONF_INT (path, false, struct settings, member, min, max)
+  RST_CONF_INTEGER_FIELD (path, false, struct settings, member, min, max)
 
 static const struct rst_conf_field fields[] = {
   TEXT ("name", RST_CONF_NAME, true, name),
@@ -70,7 +70,7 @@
   TEXT ("store", RST_CONF_ADDRESS, true, store),
   TEXT ("advice", RST_CONF_STRING, false, advice),
   TEXT ("metrics", RST_CONF_ADDRESS, false, metrics),
-  INT ("lease_max_ms", hold_max_ms, 500, 600000),
+  INT ("lease_max_ms", lease_max_ms, 500, 600000),
   INT ("status_s", status_s, 1, 86400),
   INT ("early_ms", early_ms, 0, 60000),
   TEXT ("machine.cpu_share", RST_CONF_STRING, false, cpu_share),
@@ -98,12 +98,12 @@
 }
 
 static void
-on_link (void *userdata, enum rst_net_event event, uint64_t link,
-         const void *data, size_t length)
+on_link_event (void *userdata, enum rst_net_event event, uint64_t link,
+               const void *data, size_t length)
 {
   struct celld *celld = userdata;
 
-  rst_cell_node_link (celld->node, event, link, data, length);
+  rst_cell_node_handle_link_event (celld->node, event, link, data, length);
 }
 
 static rst_ms
@@ -112,7 +112,7 @@
   struct celld *celld = userdata;
   rst_ms wake = rst_cell_node_run (celld->node);
 
-  if (rst_cell_node_stopped (celld->node))
+  if (rst_cell_node_is_stopped (celld->node))
     rst_cell_loop_stop (celld->loop);
   return wake;
 }
@@ -122,16 +122,16 @@
 {
   struct celld *celld = userdata;
 
-  rst_cell_node_stop (celld->node);
+  rst_cell_node_begin_stop (celld->node);
 }
 
 static void
-on_metrics (struct rst_http_request *request, void *userdata)
+serve_metrics (struct rst_http_request *request, void *userdata)
 {
   struct celld *celld = userdata;
-  char *page = rst_cell_metrics_page (celld->node);
+  char *page = rst_cell_metrics_format_page (celld->node);
 
-  rst_http_reply (request, 200, "text/plain", page, strlen (page), 0);
+  rst_http_request_reply (request, 200, "text/plain", page, strlen (page), 0);
   g_free (page);
 }
 
@@ -143,9 +143,9 @@
   double share = g_ascii_strtod (settings->cpu_share, NULL);
   double link = g_ascii_strtod (settings->link_mbps, NULL);
 
-  if ((share > 0.0 && share < SMALL_SHARE)
-      || (link > 0.0 && link < SMALL_LINK))
-    return RESERVE_MS;
+  if ((share > 0.0 && share < SMALL_MACHINE_CPU_SHARE)
+      || (link > 0.0 && link < SMALL_MACHINE_LINK_MBPS))
+    return STANDBY_DELAY_MS;
   return 0;
 }
 
@@ -155,8 +155,8 @@
   const struct settings *settings = &celld->settings;
   struct rst_cell_node_config config = { 0 };
 
-  config.backend = rst_cell_loop_backend (
-      celld->loop, rst_adapter_backend (celld->adapter));
+  config.backend = rst_cell_loop_wrap_backend (
+      celld->loop, rst_adapter_get_backend (celld->adapter));
   config.now = rst_os_now;
   config.unix_now = unix_now;
   config.connect = rst_cell_loop_open_link;
@@ -165,12 +165,12 @@
   config.userdata = celld->loop;
   config.name = settings->name;
   config.zone = settings->zone;
-  config.address = rst_cell_loop_address (celld->loop);
-  config.timing.unconfirmed_renewal_ms = KEEP_MS;
-  config.timing.lease_ms = settings->hold_max_ms;
+  config.address = rst_cell_loop_get_address (celld->loop);
+  config.timing.unconfirmed_renewal_ms = UNCONFIRMED_RENEWAL_MS;
+  config.timing.lease_ms = settings->lease_max_ms;
   config.timing.status_ms = settings->status_s * 1000;
   config.timing.early_ms = settings->early_ms;
-  config.jitter_ms = (rst_ms)(rst_os_random () % JITTER_MS);
+  config.jitter_ms = (rst_ms)(rst_os_random () % TAKEOVER_JITTER_MS);
   config.standby_delay_ms = standby_delay_ms (settings);
   celld->node = rst_cell_node_create (&config);
 }
@@ -183,15 +183,15 @@
 main (int argc, char **argv)
 {
   struct celld celld = { 0 };
-  struct rst_cell_loop_config loop = { on_link, on_tick, &celld };
+  struct rst_cell_loop_config loop = { on_link_event, on_tick, &celld };
   struct rst_log_config log = { false, "info", true };
   int status;
 
-  celld.settings.hold_max_ms = 6000;
+  celld.settings.lease_max_ms = 6000;
   celld.settings.status_s = 120;
   g_strlcpy (celld.settings.log_level, "info",
              sizeof celld.settings.log_level);
-  status = rst_program_start (&program, argc, argv, &celld.settings);
+  status = rst_program_configure (&program, argc, argv, &celld.settings);
   if (status >= 0)
     return status;
   rst_os_block_signals ();
@@ -199,7 +199,8 @@
   rst_log_init (program.name, &log);
   status = EXIT_FAILURE;
   celld.loop = rst_cell_loop_create (&loop);
-  celld.client = rst_http_client_create (CONNECTIONS_MAX, PER_HOST_MAX);
+  celld.client
+      = rst_http_client_create (CONNECTIONS_MAX, CONNECTIONS_PER_HOST_MAX);
   if (celld.loop == NULL || celld.client == NULL)
     goto out;
   celld.adapter = rst_adapter_create (celld.client, celld.settings.store,
@@ -207,23 +208,24 @@
   if (rst_cell_loop_listen (celld.loop, celld.settings.listen)
       != RST_TRANSPORT_OK)
     {
-      rst_warning (LOG_PREFIX, "listen: the address can't be used.");
+      rst_warning (LOG_DOMAIN, "listen: the address can't be used.");
       goto out;
     }
   /* Events of links wait in the loop until it runs. */
   create_node (&celld);
-  if (rst_cell_loop_serve_page (celld.loop, celld.settings.metrics, on_metrics,
-                                &celld)
+  if (rst_cell_loop_start_page_server (celld.loop, celld.settings.metrics,
+                                       serve_metrics, &celld)
       != RST_TRANSPORT_OK)
     {
-      rst_warning (LOG_PREFIX, "metrics: the address can't be used.");
+      rst_warning (LOG_DOMAIN, "metrics: the address can't be used.");
       goto out;
     }
-  rst_info (LOG_PREFIX, "Started.", "name", celld.settings.name, "zone",
-            celld.settings.zone, "listen", rst_cell_loop_address (celld.loop));
-  rst_cell_loop_await_stop (celld.loop, begin_stop, &celld);
+  rst_info (LOG_DOMAIN, "Started.", "name", celld.settings.name, "zone",
+            celld.settings.zone, "listen",
+            rst_cell_loop_get_address (celld.loop));
+  rst_cell_loop_watch_stop_signals (celld.loop, begin_stop, &celld);
   rst_cell_loop_run (celld.loop);
-  rst_info (LOG_PREFIX, "Stopped.");
+  rst_info (LOG_DOMAIN, "Stopped.");
   /* Threads may still post into the loop; the process's end frees all. */
   _exit (EXIT_SUCCESS);
 
--- a/src/daemon/entryd.c
+++ b/src/daemon/entryd.c
@@ -22,7 +22,7 @@
 #include "util/os.h"
 #include "util/program.h"
 
-#define LOG_PREFIX "entryd"
+#define LOG_DOMAIN "entryd"
 
 /** Bound on events waiting for the thread of decisions. */
 #define MAILBOX_SIZE 65536
@@ -34,10 +34,10 @@
 #define EVENTS_PER_TICK 512
 
 /** Longest time that a planned stop waits for answers. */
-#define DRAIN_MS 20000
+#define DRAIN_TIMEOUT_MS 20000
 
 /** Time for which a stopping entry still answers, not ready. */
-#define LINGER_MS 300
+#define STOP_LINGER_MS 300
 
 struct settings
 {
@@ -45,9 +45,9 @@
   char zone[RST_NAME_SIZE];
   char listen[RST_ADDRESS_SIZE];
   struct json_object *schedulers;
-  int64_t max_body;
+  int64_t max_body_bytes;
   int64_t max_connections;
-  int64_t max_per_ip;
+  int64_t max_connections_per_ip;
   int64_t max_pending;
   int64_t idle_timeout_s;
   char log_format[8];
@@ -59,9 +59,9 @@
     = { "error", "warning", "info", "debug", NULL };
 
 #define TEXT(path, type, required, member)                                    \
-  RST_CONF_TEXT (path, type, required, struct settings, member)
+  RST_CONF_STRING_FIELD (path, type, required, struct settings, member)
 #define INT(path, member, min, max)                                           \
-  RST_CONF_INT (path, false, struct settings, member, min, max)
+  RST_CONF_INTEGER_FIELD (path, false, struct settings, member, min, max)
 
 static const struct rst_conf_field fields[] = {
   TEXT ("name", RST_CONF_NAME, true, name),
@@ -69,9 +69,9 @@
   TEXT ("listen", RST_CONF_ADDRESS, true, listen),
   { "schedulers", RST_CONF_LIST, true, offsetof (struct settings, schedulers),
     0, 0, 0, NULL },
-  INT ("limits.body_bytes", max_body, 1, 1048576),
+  INT ("limits.body_bytes", max_body_bytes, 1, 1048576),
   INT ("limits.connections", max_connections, 1, 100000),
-  INT ("limits.connections_per_ip", max_per_ip, 0, 100000),
+  INT ("limits.connections_per_ip", max_connections_per_ip, 0, 100000),
   INT ("limits.pending", max_pending, 1, 1000000),
   INT ("limits.idle_s", idle_timeout_s, 1, 3600),
   { "log.format", RST_CONF_CHOICE, false,
@@ -85,7 +85,7 @@
 {
   const struct settings *settings = target;
   size_t count = json_object_array_length (settings->schedulers);
-  bool sound = true;
+  bool valid = true;
 
   if (count == 0)
     {
@@ -97,13 +97,13 @@
       const char *address = json_object_get_string (
           json_object_array_get_idx (settings->schedulers, i));
 
-      if (address != NULL && rst_conf_valid_address (address))
+      if (address != NULL && rst_conf_is_address (address))
         continue;
       g_string_append_printf (
           problems, "schedulers[%zu]: must be an address IP:PORT\n", i);
-      sound = false;
+      valid = false;
     }
-  return sound;
+  return valid;
 }
 
 static const struct rst_program program = {
@@ -122,18 +122,18 @@
   struct rst_http_server *server;
   struct rst_entry *entry;
   pthread_t thread;
-  atomic_bool stop;
+  atomic_bool stop_requested;
   rst_ms next_tick;
-  rst_ms stop_at;
+  rst_ms stop_began_at;
 };
 
 static void
 set_defaults (struct settings *settings)
 {
   memset (settings, 0, sizeof *settings);
-  settings->max_body = 1048576;
+  settings->max_body_bytes = 1048576;
   settings->max_connections = 4096;
-  settings->max_per_ip = 0;
+  settings->max_connections_per_ip = 0;
   settings->max_pending = 4096;
   settings->idle_timeout_s = 60;
   g_strlcpy (settings->log_format, "plain", sizeof settings->log_format);
@@ -149,20 +149,23 @@
   const struct rst_entry_counters *c = rst_entry_get_counters (daemon->entry);
   GString *page = g_string_new ("");
 
-  rst_metrics_counter (page, "requests_total", "Requests taken.", c->requests);
-  rst_metrics_counter (page, "answered_total", "Requests answered.",
-                       c->answered);
-  rst_metrics_counter (page, "not_run_total", "Requests not run.", c->not_run);
-  rst_metrics_counter (page, "unknown_total",
-                       "Requests whose outcome is unknown.", c->unknown);
-  rst_metrics_counter (page, "unauthorized_total",
-                       "Requests without a valid key.", c->unauthorized);
-  rst_metrics_counter (page, "retries_total", "Further attempts.", c->retries);
-  rst_metrics_gauge (page, "pending", "Requests that wait for an answer.",
-                     (double)rst_entry_count_pending (daemon->entry));
-  rst_metrics_gauge (page, "ready", "Whether it can serve callers.",
-                     rst_entry_is_ready (daemon->entry));
-  rst_metrics_process (page);
+  rst_metrics_add_counter (page, "requests_total", "Requests taken.",
+                           c->requests);
+  rst_metrics_add_counter (page, "answered_total", "Requests answered.",
+                           c->answered);
+  rst_metrics_add_counter (page, "not_run_total", "Requests not run.",
+                           c->not_run);
+  rst_metrics_add_counter (page, "unknown_total",
+                           "Requests whose outcome is unknown.", c->unknown);
+  rst_metrics_add_counter (page, "unauthorized_total",
+                           "Requests without a valid key.", c->unauthorized);
+  rst_metrics_add_counter (page, "retries_total", "Further attempts.",
+                           c->retries);
+  rst_metrics_add_gauge (page, "pending", "Requests that wait for an answer.",
+                         (double)rst_entry_count_pending (daemon->entry));
+  rst_metrics_add_gauge (page, "ready", "Whether it can serve callers.",
+                         rst_entry_is_ready (daemon->entry));
+  rst_metrics_add_process (page);
   return g_string_free (page, FALSE);
 }
 
@@ -170,26 +173,27 @@
 static bool
 serve_page (struct daemon *daemon, struct rst_http_request *http)
 {
-  const char *path = rst_http_path (http);
+  const char *path = rst_http_request_path (http);
   bool ready = rst_entry_is_ready (daemon->entry);
   char *text;
 
   if (strcmp (path, "/livez") == 0)
-    rst_http_reply_text (http, 200, "{\"live\":true}\n");
+    rst_http_request_reply_json (http, 200, "{\"live\":true}\n");
   else if (strcmp (path, "/readyz") == 0)
-    rst_http_reply_text (http, ready ? 200 : 503,
-                         ready ? "{\"ready\":true}\n" : "{\"ready\":false}\n");
+    rst_http_request_reply_json (http, ready ? 200 : 503,
+                                 ready ? "{\"ready\":true}\n"
+                                       : "{\"ready\":false}\n");
   else if (strcmp (path, "/status") == 0)
     {
       text = rst_entry_format_status (daemon->entry);
-      rst_http_reply_text (http, 200, text);
+      rst_http_request_reply_json (http, 200, text);
       free (text);
     }
   else if (strcmp (path, "/metrics") == 0)
     {
       text = metrics_page (daemon);
-      rst_http_reply (http, 200, "text/plain; version=0.0.4", text,
-                      strlen (text), 0);
+      rst_http_request_reply (http, 200, "text/plain; version=0.0.4", text,
+                              strlen (text), 0);
       g_free (text);
     }
   else
@@ -198,10 +202,10 @@
 }
 
 static void
-answer (void *handle, const struct rst_entry_reply *reply)
+send_reply (void *handle, const struct rst_entry_reply *reply)
 {
-  rst_http_reply (handle, reply->status, NULL, reply->body, reply->length,
-                  reply->retry_after_s);
+  rst_http_request_reply (handle, reply->status, NULL, reply->body,
+                          reply->length, reply->retry_after_s);
 }
 
 /* Finds the operation by method and path.  Returns false when none fits. */
@@ -209,8 +213,8 @@
 read_operation (struct rst_http_request *http,
                 struct rst_entry_request *request)
 {
-  const char *path = rst_http_path (http);
-  const char *method = rst_http_method (http);
+  const char *path = rst_http_request_path (http);
+  const char *method = rst_http_request_method (http);
   bool post = strcmp (method, "POST") == 0;
   bool get = strcmp (method, "GET") == 0;
 
@@ -233,7 +237,7 @@
 }
 
 static void
-serve (struct daemon *daemon, struct rst_http_request *http)
+handle_request (struct daemon *daemon, struct rst_http_request *http)
 {
   struct rst_entry_request request = { 0 };
 
@@ -241,19 +245,20 @@
     return;
   if (!read_operation (http, &request))
     {
-      rst_http_reply_text (http, 404,
-                           "{\"outcome\":\"not-run\",\"reason\":"
-                           "\"unknown-path\",\"detail\":\"path: no such "
-                           "call\"}\n");
+      rst_http_request_reply_json (
+          http, 404,
+          "{\"outcome\":\"not-run\",\"reason\":"
+          "\"unknown-path\",\"detail\":\"path: no such "
+          "call\"}\n");
       return;
     }
-  request.key = rst_http_header (http, "Authorization");
-  request.request_id = rst_http_header (http, "Idempotency-Key");
-  request.idempotent = rst_http_header (http, "X-Idempotent");
-  request.deadline_ms = rst_http_header (http, "X-Deadline-Ms");
-  request.urgency = rst_http_header (http, "X-Urgency");
-  request.state = rst_http_query (http, "state");
-  request.body = rst_http_body (http, &request.length);
+  request.key = rst_http_request_header (http, "Authorization");
+  request.request_id = rst_http_request_header (http, "Idempotency-Key");
+  request.idempotent = rst_http_request_header (http, "X-Idempotent");
+  request.deadline_ms = rst_http_request_header (http, "X-Deadline-Ms");
+  request.urgency = rst_http_request_header (http, "X-Urgency");
+  request.state = rst_http_request_query (http, "state");
+  request.body = rst_http_request_body (http, &request.length);
   rst_entry_handle_request (daemon->entry, http, &request);
 }
 
@@ -286,7 +291,7 @@
       rst_entry_handle_message (daemon->entry, event->link, &event->message);
       break;
     case RST_EVENT_HTTP:
-      serve (daemon, event->request);
+      handle_request (daemon, event->request);
       break;
     default:
       break;
@@ -295,37 +300,38 @@
 }
 
 static void
-handle_events (struct daemon *daemon, int most)
+handle_events (struct daemon *daemon, int max_events)
 {
   struct rst_event *event;
 
-  while (most-- > 0 && (event = rst_mailbox_take (daemon->mailbox)) != NULL)
+  while (max_events-- > 0
+         && (event = rst_mailbox_take (daemon->mailbox)) != NULL)
     handle_event (daemon, event);
 }
 
 static bool
-is_over (struct daemon *daemon)
+is_stop_complete (struct daemon *daemon)
 {
   rst_ms since;
 
-  if (!atomic_load (&daemon->stop))
+  if (!atomic_load (&daemon->stop_requested))
     return false;
-  if (daemon->stop_at == 0)
+  if (daemon->stop_began_at == 0)
     {
-      daemon->stop_at = rst_os_now ();
-      rst_info (LOG_PREFIX, "Planned stop begins.");
+      daemon->stop_began_at = rst_os_now ();
+      rst_info (LOG_DOMAIN, "Planned stop begins.");
       rst_entry_begin_stop (daemon->entry);
     }
-  since = rst_os_now () - daemon->stop_at;
-  return since > DRAIN_MS
-         || (since > LINGER_MS
+  since = rst_os_now () - daemon->stop_began_at;
+  return since > DRAIN_TIMEOUT_MS
+         || (since > STOP_LINGER_MS
              && rst_entry_count_pending (daemon->entry) == 0);
 }
 
 static void
-decide (struct daemon *daemon)
+run_loop (struct daemon *daemon)
 {
-  while (!is_over (daemon))
+  while (!is_stop_complete (daemon))
     {
       rst_ms now = rst_os_now ();
 
@@ -355,17 +361,17 @@
 }
 
 static bool
-start (struct daemon *daemon)
+start_servers (struct daemon *daemon)
 {
   const struct settings *settings = &daemon->settings;
-  struct rst_net_config net = rst_link_config (NULL, &daemon->link);
+  struct rst_net_config net = rst_link_net_make_config (NULL, &daemon->link);
   struct rst_http_server_config server = { 0 };
   struct rst_entry_config config = { 0 };
 
   server.address = settings->listen;
-  server.max_body = (size_t)settings->max_body;
+  server.max_body_bytes = (size_t)settings->max_body_bytes;
   server.max_connections = (unsigned)settings->max_connections;
-  server.max_per_ip = (unsigned)settings->max_per_ip;
+  server.max_connections_per_ip = (unsigned)settings->max_connections_per_ip;
   server.idle_timeout_s = (unsigned)settings->idle_timeout_s;
   server.handler = on_request;
   server.userdata = daemon;
@@ -384,8 +390,8 @@
   config.clock = rst_os_clock ();
   config.seed = rst_os_random ();
   config.max_pending = settings->max_pending;
-  daemon->entry
-      = rst_entry_create (&config, rst_link_table (), &daemon->link, answer);
+  daemon->entry = rst_entry_create (&config, rst_link_net_get_ops (),
+                                    &daemon->link, send_reply);
   add_schedulers (daemon);
   return true;
 }
@@ -407,12 +413,12 @@
 }
 
 static void *
-wait_main (void *userdata)
+wait_for_stop_signal (void *userdata)
 {
   struct daemon *daemon = userdata;
 
-  rst_os_wait_stop ();
-  atomic_store (&daemon->stop, true);
+  rst_os_wait_stop_signal ();
+  atomic_store (&daemon->stop_requested, true);
   return NULL;
 }
 
@@ -422,12 +428,12 @@
   static struct daemon daemon;
   struct rst_log_config log = { 0 };
   int status = EXIT_FAILURE;
-  int early;
+  int exit_status;
 
   set_defaults (&daemon.settings);
-  early = rst_program_start (&program, argc, argv, &daemon.settings);
-  if (early >= 0)
-    return early;
+  exit_status = rst_program_configure (&program, argc, argv, &daemon.settings);
+  if (exit_status >= 0)
+    return exit_status;
   rst_os_block_signals ();
   if (sodium_init () < 0)
     return EXIT_FAILURE;
@@ -436,15 +442,16 @@
   rst_log_init (daemon.settings.name, &log);
   daemon.mailbox = rst_mailbox_create (MAILBOX_SIZE);
   daemon.link.mailbox = daemon.mailbox;
-  if (daemon.mailbox == NULL || !start (&daemon))
+  if (daemon.mailbox == NULL || !start_servers (&daemon))
     goto done;
-  if (pthread_create (&daemon.thread, NULL, wait_main, &daemon) != 0)
+  if (pthread_create (&daemon.thread, NULL, wait_for_stop_signal, &daemon)
+      != 0)
     goto done;
   printf ("ready http=%s\n", rst_http_server_address (daemon.server));
   fflush (stdout);
-  decide (&daemon);
+  run_loop (&daemon);
   pthread_join (daemon.thread, NULL);
-  rst_info (LOG_PREFIX, "Stopped.");
+  rst_info (LOG_DOMAIN, "Stopped.");
   status = EXIT_SUCCESS;
 
 done:
--- a/src/daemon/link.c
+++ b/src/daemon/link.c
@@ -7,7 +7,7 @@
 #include "transport/transport.h"
 #include "util/log.h"
 
-#define LOG_PREFIX "link"
+#define LOG_DOMAIN "link"
 
 /** Bound on unsent bytes of one link. */
 #define LINK_BUFFER_MAX (16 * 1024 * 1024)
@@ -17,19 +17,19 @@
 #define LINK_SILENT_MS 2500
 
 /** Pause before a full mailbox is tried again, in microseconds. */
-#define FULL_PAUSE_US 500
+#define MAILBOX_FULL_PAUSE_US 500
 
 void
 rst_event_post (struct rst_mailbox *mailbox, struct rst_event *event)
 {
   while (!rst_mailbox_post (mailbox, event))
     {
-      if (rst_mailbox_closed (mailbox))
+      if (rst_mailbox_is_closed (mailbox))
         {
           rst_event_free (event);
           return;
         }
-      usleep (FULL_PAUSE_US);
+      usleep (MAILBOX_FULL_PAUSE_US);
     }
 }
 
@@ -52,8 +52,8 @@
 }
 
 static void
-decode (struct rst_link_net *link, uint64_t connection, const void *data,
-        size_t length)
+post_message (struct rst_link_net *link, uint64_t connection, const void *data,
+              size_t length)
 {
   struct rst_event *event = g_new0 (struct rst_event, 1);
   const char *field = NULL;
@@ -61,7 +61,7 @@
 
   if (error != RST_PROTOCOL_OK)
     {
-      rst_warning (LOG_PREFIX, "Frame was refused; link closed.", "error",
+      rst_warning (LOG_DOMAIN, "Frame was refused; link closed.", "error",
                    rst_protocol_strerror (error), "field", field);
       g_free (event);
       rst_net_close (link->net, connection);
@@ -73,13 +73,13 @@
 }
 
 void
-rst_link_net_handler (enum rst_net_event event, uint64_t connection,
-                      const void *data, size_t length, void *userdata)
+rst_link_net_handle_event (enum rst_net_event event, uint64_t connection,
+                           const void *data, size_t length, void *userdata)
 {
   struct rst_link_net *link = userdata;
 
   if (event == RST_NET_FRAME)
-    decode (link, connection, data, length);
+    post_message (link, connection, data, length);
   else
     post_link_event (
         link, event == RST_NET_OPENED ? RST_EVENT_OPENED : RST_EVENT_CLOSED,
@@ -114,7 +114,7 @@
 }
 
 const struct rst_link_ops *
-rst_link_table (void)
+rst_link_net_get_ops (void)
 {
   static const struct rst_link_ops table
       = { link_connect, link_send, link_close };
@@ -123,16 +123,16 @@
 }
 
 struct rst_net_config
-rst_link_config (const char *listen, struct rst_link_net *userdata)
+rst_link_net_make_config (const char *listen, struct rst_link_net *userdata)
 {
   struct rst_net_config config = { 0 };
 
   config.listen = listen;
-  config.max_frame = RST_MESSAGE_MAX;
-  config.max_buffered = LINK_BUFFER_MAX;
-  config.heartbeat_ms = LINK_HEARTBEAT_MS;
-  config.silent_ms = LINK_SILENT_MS;
-  config.handler = rst_link_net_handler;
+  config.max_frame_bytes = RST_MESSAGE_MAX_BYTES;
+  config.max_unsent_bytes = LINK_BUFFER_MAX;
+  config.heartbeat_interval_ms = LINK_HEARTBEAT_MS;
+  config.receive_timeout_ms = LINK_SILENT_MS;
+  config.handler = rst_link_net_handle_event;
   config.userdata = userdata;
   return config;
 }
--- a/src/daemon/link.h
+++ b/src/daemon/link.h
@@ -28,7 +28,7 @@
   RST_EVENT_HTTP,
 };
 
-struct rst_platform_event;
+struct rst_platform_request;
 struct rst_http_request;
 
 /**
@@ -44,7 +44,7 @@
   enum rst_event_kind kind;
   uint64_t link;
   struct rst_message message;
-  struct rst_platform_event *platform;
+  struct rst_platform_request *platform;
   struct rst_http_request *request;
 };
 
@@ -59,12 +59,13 @@
 void rst_event_free (struct rst_event *event);
 
 /**
- * rst_link_net_handler() - A net's handler that posts events.
+ * rst_link_net_handle_event() - A net's handler that posts events.
  *
  * The net's userdata must point to a struct rst_link_net.
  */
-void rst_link_net_handler (enum rst_net_event event, uint64_t connection,
-                           const void *data, size_t length, void *userdata);
+void rst_link_net_handle_event (enum rst_net_event event, uint64_t connection,
+                                const void *data, size_t length,
+                                void *userdata);
 
 /**
  * struct rst_link_net - A net and the mailbox that its events go to.
@@ -77,11 +78,13 @@
   struct rst_mailbox *mailbox;
 };
 
-/** rst_link_table() - How the state machines use a struct rst_link_net. */
-const struct rst_link_ops *rst_link_table (void);
+/** rst_link_net_get_ops() - How the state machines use a struct rst_link_net.
+ */
+const struct rst_link_ops *rst_link_net_get_ops (void);
 
-/** rst_link_config() - A net's configuration with the project's bounds. */
-struct rst_net_config rst_link_config (const char *listen,
-                                       struct rst_link_net *userdata);
+/** rst_link_net_make_config() - A net's configuration with the project's
+ * bounds. */
+struct rst_net_config rst_link_net_make_config (const char *listen,
+                                                struct rst_link_net *userdata);
 
 #endif
--- a/src/daemon/metrics.c
+++ b/src/daemon/metrics.c
@@ -6,8 +6,8 @@
 #define METRICS_PREFIX "rosemarystile_"
 
 void
-rst_metrics_counter (GString *page, const char *name, const char *help,
-                     uint64_t value)
+rst_metrics_add_counter (GString *page, const char *name, const char *help,
+                         uint64_t value)
 {
   g_string_append_printf (page,
                           "# HELP " METRICS_PREFIX "%s %s\n"
@@ -18,8 +18,8 @@
 }
 
 void
-rst_metrics_gauge (GString *page, const char *name, const char *help,
-                   double value)
+rst_metrics_add_gauge (GString *page, const char *name, const char *help,
+                       double value)
 {
   g_string_append_printf (page,
                           "# HELP " METRICS_PREFIX "%s %s\n"
@@ -29,8 +29,8 @@
 }
 
 void
-rst_metrics_family (GString *page, const char *name, const char *type,
-                    const char *help)
+rst_metrics_begin_family (GString *page, const char *name, const char *type,
+                          const char *help)
 {
   g_string_append_printf (page,
                           "# HELP " METRICS_PREFIX "%s %s\n"
@@ -40,8 +40,8 @@
 
 /* Writes one sample; @bound is a bucket's upper bound, or NULL. */
 static void
-add_sample (GString *page, const char *name, const char *suffix,
-            struct rst_metrics_label label, const char *bound, double value)
+write_sample (GString *page, const char *name, const char *suffix,
+              struct rst_metrics_label label, const char *bound, double value)
 {
   const char *comma = label.name != NULL && bound != NULL ? "," : "";
 
@@ -58,38 +58,39 @@
 }
 
 void
-rst_metrics_sample (GString *page, const char *name,
-                    struct rst_metrics_label label, double value)
+rst_metrics_add_sample (GString *page, const char *name,
+                        struct rst_metrics_label label, double value)
 {
-  add_sample (page, name, "", label, NULL, value);
+  write_sample (page, name, "", label, NULL, value);
 }
 
 void
-rst_metrics_histogram (GString *page, const char *name,
-                       struct rst_metrics_label label,
-                       const struct rst_histogram *histogram)
+rst_metrics_add_histogram (GString *page, const char *name,
+                           struct rst_metrics_label label,
+                           const struct rst_histogram *histogram)
 {
   uint64_t below = 0;
   char bound[24];
 
-  for (int i = 0; i < RST_HISTOGRAM_BOUNDS; i++)
+  for (int i = 0; i < RST_HISTOGRAM_BOUND_COUNT; i++)
     {
       below += histogram->counts[i];
       g_snprintf (bound, sizeof bound, "%g",
-                  (double)rst_histogram_bound (i) / 1000.0);
-      add_sample (page, name, "_bucket", label, bound, (double)below);
+                  (double)rst_histogram_bound_ms (i) / 1000.0);
+      write_sample (page, name, "_bucket", label, bound, (double)below);
     }
-  add_sample (page, name, "_bucket", label, "+Inf", (double)histogram->total);
-  add_sample (page, name, "_sum", label, NULL,
-              (double)histogram->sum_ms / 1000.0);
-  add_sample (page, name, "_count", label, NULL, (double)histogram->total);
+  write_sample (page, name, "_bucket", label, "+Inf",
+                (double)histogram->total);
+  write_sample (page, name, "_sum", label, NULL,
+                (double)histogram->sum_ms / 1000.0);
+  write_sample (page, name, "_count", label, NULL, (double)histogram->total);
 }
 
 void
-rst_metrics_process (GString *page)
+rst_metrics_add_process (GString *page)
 {
-  rst_metrics_gauge (page, "cpu_seconds", "Processor time of the process.",
-                     (double)rst_os_cpu_us () / 1e6);
-  rst_metrics_gauge (page, "resident_bytes", "Resident memory.",
-                     (double)rst_os_resident_kb () * 1024);
+  rst_metrics_add_gauge (page, "cpu_seconds", "Processor time of the process.",
+                         (double)rst_os_cpu_time_us () / 1e6);
+  rst_metrics_add_gauge (page, "resident_bytes", "Resident memory.",
+                         (double)rst_os_resident_kib () * 1024);
 }
--- a/src/daemon/schedd.c
+++ b/src/daemon/schedd.c
@@ -24,7 +24,7 @@
 #include "util/os.h"
 #include "util/program.h"
 
-#define LOG_PREFIX "schedd"
+#define LOG_DOMAIN "schedd"
 
 /** Bound on events waiting for the thread of decisions. */
 #define MAILBOX_SIZE 65536
@@ -66,9 +66,9 @@
     = { "error", "warning", "info", "debug", NULL };
 
 #define TEXT(path, type, required, member)                                    \
-  RST_CONF_TEXT (path, type, required, struct settings, member)
+  RST_CONF_STRING_FIELD (path, type, required, struct settings, member)
 #define INT(path, member, min, max)                                           \
-  RST_CONF_INT (path, false, struct settings, member, min, max)
+  RST_CONF_INTEGER_FIELD (path, false, struct settings, member, min, max)
 
 static const struct rst_conf_field fields[] = {
   TEXT ("name", RST_CONF_NAME, true, name),
@@ -102,7 +102,7 @@
   struct rst_platform_http *platform;
   struct rst_scheduler *sched;
   pthread_t thread;
-  atomic_bool stop;
+  atomic_bool stop_requested;
   atomic_bool done;
   rst_ms next_tick;
 };
@@ -127,42 +127,42 @@
 check_addresses (struct json_object *list, GString *problems)
 {
   size_t count = list != NULL ? json_object_array_length (list) : 0;
-  bool sound = true;
+  bool valid = true;
 
   for (size_t i = 0; i < count; i++)
     {
       const char *address
           = json_object_get_string (json_object_array_get_idx (list, i));
 
-      if (address != NULL && rst_conf_valid_address (address))
+      if (address != NULL && rst_conf_is_address (address))
         continue;
       g_string_append_printf (problems,
                               "peers[%zu]: must be an address IP:PORT\n", i);
-      sound = false;
+      valid = false;
     }
-  return sound;
+  return valid;
 }
 
 static bool
 check_settings (const void *target, GString *problems)
 {
   const struct settings *settings = target;
-  bool sound = check_addresses (settings->peers, problems);
+  bool valid = check_addresses (settings->peers, problems);
 
   if (settings->margin_ms * 2 >= settings->lease_ms
       || settings->margin_ms * 2 >= settings->promise_ms)
     {
       g_string_append (problems, "tenure.margin_ms: must be less than half "
                                  "of lease_ms and of promise_ms\n");
-      sound = false;
+      valid = false;
     }
   if (settings->quiet_ms <= settings->promise_ms)
     {
       g_string_append (problems,
                        "tenure.quiet_ms: must be more than promise_ms\n");
-      sound = false;
+      valid = false;
     }
-  return sound;
+  return valid;
 }
 
 static const struct rst_program program = {
@@ -183,62 +183,68 @@
       = rst_scheduler_get_counters (daemon->sched);
   GString *page = g_string_new ("");
 
-  rst_metrics_counter (page, "queries_total", "Queries taken.", c->queries);
-  rst_metrics_counter (page, "answered_total", "Queries answered.",
-                       c->answered);
-  rst_metrics_counter (page, "not_run_total", "Queries not run.", c->not_run);
-  rst_metrics_counter (page, "unknown_total",
-                       "Queries whose outcome is unknown.", c->unknown);
-  rst_metrics_counter (page, "retries_total", "Further attempts.", c->retries);
-  rst_metrics_counter (page, "task_starts_total", "Tasks started.", c->starts);
-  rst_metrics_counter (page, "task_start_failures_total",
-                       "Tasks that a worker did not start.",
-                       c->start_failures);
-  rst_metrics_counter (page, "store_reads_total", "Reads of the store.",
-                       c->store_reads);
-  rst_metrics_counter (page, "store_writes_total", "Writes of the store.",
-                       c->store_writes);
-  rst_metrics_counter (page, "messages_in_total", "Messages received.",
-                       c->messages_in);
-  rst_metrics_counter (page, "messages_out_total", "Messages sent.",
-                       c->messages_out);
-  rst_metrics_counter (page, "takeovers_total", "Tenures of others ended.",
-                       c->takeovers);
-  rst_metrics_counter (page, "tenures_lost_total", "Own tenures ended.",
-                       c->fenced);
-  rst_metrics_gauge (page, "ready", "Whether it takes work.",
-                     rst_scheduler_is_ready (daemon->sched));
-  rst_metrics_process (page);
+  rst_metrics_add_counter (page, "queries_total", "Queries taken.",
+                           c->queries);
+  rst_metrics_add_counter (page, "answered_total", "Queries answered.",
+                           c->answered);
+  rst_metrics_add_counter (page, "not_run_total", "Queries not run.",
+                           c->not_run);
+  rst_metrics_add_counter (page, "unknown_total",
+                           "Queries whose outcome is unknown.", c->unknown);
+  rst_metrics_add_counter (page, "retries_total", "Further attempts.",
+                           c->retries);
+  rst_metrics_add_counter (page, "task_starts_total", "Tasks started.",
+                           c->starts);
+  rst_metrics_add_counter (page, "task_start_failures_total",
+                           "Tasks that a worker did not start.",
+                           c->start_failures);
+  rst_metrics_add_counter (page, "store_reads_total", "Reads of the store.",
+                           c->store_reads);
+  rst_metrics_add_counter (page, "store_writes_total", "Writes of the store.",
+                           c->store_writes);
+  rst_metrics_add_counter (page, "messages_in_total", "Messages received.",
+                           c->messages_in);
+  rst_metrics_add_counter (page, "messages_out_total", "Messages sent.",
+                           c->messages_out);
+  rst_metrics_add_counter (page, "takeovers_total", "Tenures of others ended.",
+                           c->takeovers);
+  rst_metrics_add_counter (page, "tenures_lost_total", "Own tenures ended.",
+                           c->fenced);
+  rst_metrics_add_gauge (page, "ready", "Whether it takes work.",
+                         rst_scheduler_is_ready (daemon->sched));
+  rst_metrics_add_process (page);
   return g_string_free (page, FALSE);
 }
 
 static void
 serve_status (struct daemon *daemon, struct rst_http_request *request)
 {
-  const char *path = rst_http_path (request);
+  const char *path = rst_http_request_path (request);
   bool ready = rst_scheduler_is_ready (daemon->sched);
   char *text;
 
   if (strcmp (path, "/livez") == 0)
-    rst_http_reply_text (request, 200, "{\"live\":true}\n");
+    rst_http_request_reply_json (request, 200, "{\"live\":true}\n");
   else if (strcmp (path, "/readyz") == 0)
-    rst_http_reply_text (request, ready ? 200 : 503,
-                         ready ? "{\"ready\":true}\n" : "{\"ready\":false}\n");
+    rst_http_request_reply_json (request, ready ? 200 : 503,
+                                 ready ? "{\"ready\":true}\n"
+                                       : "{\"ready\":false}\n");
   else if (strcmp (path, "/status") == 0)
     {
       text = rst_scheduler_format_status (daemon->sched);
-      rst_http_reply_text (request, 200, text);
+      rst_http_request_reply_json (request, 200, text);
       free (text);
     }
   else if (strcmp (path, "/metrics") == 0)
     {
       text = metrics_page (daemon);
-      rst_http_reply (request, 200, "text/plain; version=0.0.4", text,
-                      strlen (text), 0);
+      rst_http_request_reply (request, 200, "text/plain; version=0.0.4", text,
+                              strlen (text), 0);
       g_free (text);
     }
   else
-    rst_http_reply_text (request, 404, "{\"error\":\"no such page\"}\n");
+    rst_http_request_reply_json (request, 404,
+                                 "{\"error\":\"no such page\"}\n");
 }
 
 /* ---- Events ---------------------------------------------------------------
@@ -256,7 +262,7 @@
 }
 
 static void
-on_platform (struct rst_platform_event *ended, void *userdata)
+on_platform (struct rst_platform_request *ended, void *userdata)
 {
   struct daemon *daemon = userdata;
   struct rst_event *event = g_new0 (struct rst_event, 1);
@@ -282,7 +288,7 @@
                                     &event->message);
       break;
     case RST_EVENT_PLATFORM:
-      rst_platform_event_run (event->platform);
+      rst_platform_request_complete (event->platform);
       break;
     case RST_EVENT_HTTP:
       serve_status (daemon, event->request);
@@ -292,16 +298,17 @@
 }
 
 static void
-handle_events (struct daemon *daemon, int most)
+handle_events (struct daemon *daemon, int max_events)
 {
   struct rst_event *event;
 
-  while (most-- > 0 && (event = rst_mailbox_take (daemon->mailbox)) != NULL)
+  while (max_events-- > 0
+         && (event = rst_mailbox_take (daemon->mailbox)) != NULL)
     handle_event (daemon, event);
 }
 
 static void *
-decide_main (void *userdata)
+run_loop (void *userdata)
 {
   struct daemon *daemon = userdata;
 
@@ -317,7 +324,7 @@
           daemon->next_tick = rst_os_now () + TICK_MS;
           rst_scheduler_tick (daemon->sched);
         }
-      if (atomic_load (&daemon->stop))
+      if (atomic_load (&daemon->stop_requested))
         rst_scheduler_begin_stop (daemon->sched);
     }
   return NULL;
@@ -331,11 +338,11 @@
 {
   const struct settings *settings = &daemon->settings;
   struct rst_net_config net
-      = rst_link_config (settings->listen, &daemon->link);
+      = rst_link_net_make_config (settings->listen, &daemon->link);
   struct rst_http_server_config status = { 0 };
 
   status.address = settings->status_listen;
-  status.max_body = STATUS_BODY_MAX;
+  status.max_body_bytes = STATUS_BODY_MAX;
   status.max_connections = STATUS_CONNECTIONS;
   status.idle_timeout_s = STATUS_IDLE_S;
   status.handler = on_request;
@@ -403,9 +410,9 @@
   config.list_interval_ms = settings->list_interval_ms;
   config.clock = rst_os_clock ();
   config.seed = rst_os_random ();
-  daemon->sched = rst_scheduler_create (&config, rst_platform_http_table (),
-                                        daemon->platform, rst_link_table (),
-                                        &daemon->link);
+  daemon->sched = rst_scheduler_create (
+      &config, rst_platform_http_get_table (), daemon->platform,
+      rst_link_net_get_ops (), &daemon->link);
   add_peers (daemon);
 }
 
@@ -429,12 +436,12 @@
 }
 
 static void *
-wait_main (void *userdata)
+wait_for_stop_signal (void *userdata)
 {
   struct daemon *daemon = userdata;
 
-  rst_os_wait_stop ();
-  atomic_store (&daemon->stop, true);
+  rst_os_wait_stop_signal ();
+  atomic_store (&daemon->stop_requested, true);
   return NULL;
 }
 
@@ -444,12 +451,12 @@
   static struct daemon daemon;
   struct rst_log_config log = { 0 };
   int status = EXIT_FAILURE;
-  int early;
+  int exit_status;
 
   set_defaults (&daemon.settings);
-  early = rst_program_start (&program, argc, argv, &daemon.settings);
-  if (early >= 0)
-    return early;
+  exit_status = rst_program_configure (&program, argc, argv, &daemon.settings);
+  if (exit_status >= 0)
+    return exit_status;
   rst_os_block_signals ();
   if (sodium_init () < 0)
     return EXIT_FAILURE;
@@ -462,14 +469,15 @@
       || !start_platform (&daemon))
     goto done;
   create_scheduler (&daemon);
-  if (pthread_create (&daemon.thread, NULL, wait_main, &daemon) != 0)
+  if (pthread_create (&daemon.thread, NULL, wait_for_stop_signal, &daemon)
+      != 0)
     goto done;
   printf ("ready frames=%s http=%s\n", rst_net_address (daemon.link.net),
           rst_http_server_address (daemon.server));
   fflush (stdout);
-  decide_main (&daemon);
+  run_loop (&daemon);
   pthread_join (daemon.thread, NULL);
-  rst_info (LOG_PREFIX, "Stopped.");
+  rst_info (LOG_DOMAIN, "Stopped.");
   status = EXIT_SUCCESS;
 
 done:
--- a/src/daemon/observe.c
+++ b/src/daemon/store_input.c
@@ -1,4 +1,4 @@
-#include "daemon/observe.h"
+#include "daemon/store_input.h"
 
 #include <inttypes.h>
 #include <string.h>
@@ -6,10 +6,10 @@
 #include "adapter.h"
 #include "util/log.h"
 
-#define LOG_PREFIX "observe"
+#define LOG_DOMAIN "observe"
 
 static void
-take_config (struct rst_planner *planner, const struct rst_store_item *item)
+apply_config (struct rst_planner *planner, const struct rst_store_item *item)
 {
   char *problem = NULL;
   struct rst_cellconfig *config;
@@ -17,36 +17,36 @@
 
   if (item->deleted || item->value == NULL)
     return;
-  config = rst_adapter_read_config ((const char *)item->value, &problem);
+  config = rst_adapter_parse_config ((const char *)item->value, &problem);
   if (config == NULL)
     {
-      rst_warning (LOG_PREFIX,
+      rst_warning (LOG_DOMAIN,
                    "Configuration can't be read; the last one stays.",
                    "problem", problem);
       g_free (problem);
       return;
     }
   g_snprintf (version, sizeof version, "%" PRId64, config->version);
-  rst_info (LOG_PREFIX, "Configuration is in force.", "version", version);
+  rst_info (LOG_DOMAIN, "Configuration is in force.", "version", version);
   rst_planner_configure (planner, config);
 }
 
 void
-rst_observe_operators (struct rst_planner *planner,
-                       const struct rst_store_item *item)
+rst_store_input_apply_operator_item (struct rst_planner *planner,
+                                     const struct rst_store_item *item)
 {
-  size_t length = strlen (RST_PLATFORM_EVACUATE_PREFIX);
+  size_t length = strlen (RST_PLATFORM_EVACUATION_PREFIX);
 
   if (strcmp (item->key, RST_PLATFORM_CONFIG_KEY) == 0)
-    take_config (planner, item);
-  else if (strncmp (item->key, RST_PLATFORM_EVACUATE_PREFIX, length) == 0)
+    apply_config (planner, item);
+  else if (strncmp (item->key, RST_PLATFORM_EVACUATION_PREFIX, length) == 0)
     rst_planner_set_zone_evacuated (planner, item->key + length,
                                     !item->deleted);
 }
 
 void
-rst_observe_instance (struct rst_planner *planner,
-                      const struct rst_store_item *item)
+rst_store_input_apply_instance_item (struct rst_planner *planner,
+                                     const struct rst_store_item *item)
 {
   const char *id = item->key + strlen (RST_PLATFORM_INSTANCE_PREFIX);
   struct rst_instance_entry entry;
@@ -54,9 +54,9 @@
   if (item->deleted)
     rst_planner_remove_instance (planner, id);
   else if (item->value != NULL
-           && rst_adapter_read_instance (id, (const char *)item->value,
-                                         &entry))
+           && rst_adapter_parse_instance (id, (const char *)item->value,
+                                          &entry))
     rst_planner_update_instance (planner, &entry);
   else
-    rst_info (LOG_PREFIX, "Entry names no usable instance.", "id", id);
+    rst_info (LOG_DOMAIN, "Entry names no usable instance.", "id", id);
 }
--- a/src/daemon/term.c
+++ b/src/daemon/term.c
@@ -5,34 +5,34 @@
 #include <string.h>
 
 /** The planner's key is renewed when nothing was committed for this long. */
-#define RENEW_MS 250
+#define RECORD_RENEW_MS 250
 
 /** Time between two messages that the planner is alive. */
-#define ALIVE_MS 250
+#define HEARTBEAT_INTERVAL_MS 250
 
 /** Age said of the store's last word when a commit failed. */
-#define TROUBLED_AGE_MS 1000
+#define FAILED_COMMIT_AGE_MS 1000
 
 static void
 free_term (struct rst_term *term)
 {
   rst_planner_destroy (term->planner);
   g_hash_table_destroy (term->links);
-  if (term->waiting.segment != NULL)
-    g_byte_array_free (term->waiting.segment, TRUE);
-  if (term->sent.segment != NULL)
-    g_byte_array_free (term->sent.segment, TRUE);
+  if (term->next_change.segment != NULL)
+    g_byte_array_free (term->next_change.segment, TRUE);
+  if (term->current_change.segment != NULL)
+    g_byte_array_free (term->current_change.segment, TRUE);
   g_free (term);
 }
 
 /* Counts an answered call; true when the term goes on. */
 bool
-rst_term_call_ended (struct rst_term *term)
+rst_term_finish_call (struct rst_term *term)
 {
-  term->calls--;
+  term->pending_calls--;
   if (!term->ended)
     return true;
-  if (term->calls == 0)
+  if (term->pending_calls == 0)
     free_term (term);
   return false;
 }
@@ -43,7 +43,7 @@
   if (term->over)
     return;
   term->over = true;
-  rst_info (RST_TERM_LOG, "Term ended.", "why", why);
+  rst_info (RST_TERM_LOG_PREFIX, "Term ended.", "why", why);
   term->config.ended (term->config.userdata);
 }
 
@@ -59,20 +59,20 @@
   while (g_hash_table_iter_next (&iter, &key, NULL))
     term->config.close (term->config.userdata, *(uint64_t *)key);
   term->ended = true;
-  rst_follow_destroy (term->operators);
-  rst_follow_destroy (term->instances);
-  if (term->calls == 0)
+  rst_prefix_watch_destroy (term->operator_watch);
+  rst_prefix_watch_destroy (term->instance_watch);
+  if (term->pending_calls == 0)
     free_term (term);
 }
 
 static void
 segment_key (char *out, size_t size, int64_t segment)
 {
-  g_snprintf (out, size, RST_SEGMENT_PREFIX "%016" PRIx64, segment);
+  g_snprintf (out, size, RST_TERM_SEGMENT_PREFIX "%016" PRIx64, segment);
 }
 
 static void
-send_to (void *userdata, uint64_t link, const void *data, size_t length)
+send_frame (void *userdata, uint64_t link, const void *data, size_t length)
 {
   struct rst_term *term = userdata;
 
@@ -80,25 +80,25 @@
 }
 
 static void
-send_to_all (struct rst_term *term, const struct rst_pack *pack)
+broadcast (struct rst_term *term, const struct rst_pack *pack)
 {
   GHashTableIter iter;
   gpointer key;
 
   g_hash_table_iter_init (&iter, term->links);
   while (g_hash_table_iter_next (&iter, &key, NULL))
-    send_to (term, *(uint64_t *)key, pack->buffer.data, pack->buffer.size);
+    send_frame (term, *(uint64_t *)key, pack->buffer.data, pack->buffer.size);
 }
 
 static void
-send_alive (struct rst_term *term, rst_ms age)
+send_heartbeats (struct rst_term *term, rst_ms age)
 {
   struct rst_pack pack;
 
   rst_pack_init (&pack, 2);
   rst_pack_int (&pack, RST_MSG_HEARTBEAT);
   rst_pack_int (&pack, age);
-  send_to_all (term, &pack);
+  broadcast (term, &pack);
   rst_pack_clear (&pack);
 }
 
@@ -108,7 +108,7 @@
 static void
 send_commit (struct rst_term *term)
 {
-  struct rst_store_write writes[RST_TERM_WRITES_MAX] = { 0 };
+  struct rst_store_write writes[RST_TERM_COMMIT_WRITES_MAX] = { 0 };
   struct rst_pack pack;
   int count = 1;
 
@@ -117,24 +117,24 @@
   writes[0].value = pack.buffer.data;
   writes[0].length = pack.buffer.size;
   writes[0].expected = term->revision;
-  if (term->sent.segment != NULL)
+  if (term->current_change.segment != NULL)
     {
-      writes[count].key = term->sent.key;
-      writes[count].value = term->sent.segment->data;
-      writes[count].length = term->sent.segment->len;
+      writes[count].key = term->current_change.key;
+      writes[count].value = term->current_change.segment->data;
+      writes[count].length = term->current_change.segment->len;
       writes[count].expected = -1;
       count++;
     }
-  for (int i = 0; i < term->sent.removed_count; i++)
+  for (int i = 0; i < term->current_change.removed_count; i++)
     {
-      writes[count].key = term->sent.removed[i];
+      writes[count].key = term->current_change.removed[i];
       writes[count].expected = -1;
       writes[count].remove = true;
       count++;
     }
-  term->commit_sent = true;
-  term->sent_at = term->config.now ();
-  term->calls++;
+  term->commit_in_flight = true;
+  term->commit_sent_at = term->config.now ();
+  term->pending_calls++;
   term->config.backend->store_commit (term->config.backend->userdata, writes,
                                       count, on_commit, term);
   rst_pack_clear (&pack);
@@ -148,26 +148,26 @@
 
   term->committing = true;
   term->resigned = term->resigning;
-  term->sent = term->waiting;
-  term->waiting = none;
+  term->current_change = term->next_change;
+  term->next_change = none;
   term->record.counter++;
   send_commit (term);
 }
 
-static void begin_reading (struct rst_term *term);
+static void start_restore (struct rst_term *term);
 
 static void
-commit_done (struct rst_term *term, int64_t revision)
+handle_commit_success (struct rst_term *term, int64_t revision)
 {
-  bool had_segment = term->sent.segment != NULL;
+  bool had_segment = term->current_change.segment != NULL;
 
   term->revision = revision;
   term->committing = false;
-  term->committed_at = term->config.now ();
+  term->last_commit_at = term->config.now ();
   if (had_segment)
     {
-      g_byte_array_free (term->sent.segment, TRUE);
-      term->sent.segment = NULL;
+      g_byte_array_free (term->current_change.segment, TRUE);
+      term->current_change.segment = NULL;
       rst_planner_set_time (term->planner, term->config.now (),
                             term->config.unix_now ());
       rst_planner_commit_done (term->planner);
@@ -175,17 +175,19 @@
   if (!term->won)
     {
       term->won = true;
-      begin_reading (term);
+      start_restore (term);
     }
-  rst_planner_set_confirmed (term->planner, term->sent_at);
+  rst_planner_set_confirmed (term->planner, term->commit_sent_at);
   if (!term->committing
-      && (term->waiting.segment != NULL || term->resigning != term->resigned))
+      && (term->next_change.segment != NULL
+          || term->resigning != term->resigned))
     begin_commit (term);
 }
 
 /* The condition failed: either an earlier copy won, or someone else has. */
 static void
-commit_conflict (struct rst_term *term, const struct rst_store_answer *answer)
+handle_commit_conflict (struct rst_term *term,
+                        const struct rst_store_answer *answer)
 {
   struct rst_planner_record record = { 0 };
   const struct rst_store_item *item = NULL;
@@ -202,16 +204,17 @@
       && record.epoch == term->record.epoch
       && record.counter == term->record.counter
       && strcmp (record.name, term->record.name) == 0)
-    commit_done (term, item->revision);
+    handle_commit_success (term, item->revision);
   else if (item != NULL && term->won && record.epoch > term->record.epoch
            && record.address[0] != '\0')
-    rst_term_moved (term, record.epoch, record.address);
+    rst_term_handle_redirect (term, record.epoch, record.address);
   else
     end_term (term, term->won ? "another planner" : "another was first");
 }
 
 void
-rst_term_moved (struct rst_term *term, int64_t epoch, const char *address)
+rst_term_handle_redirect (struct rst_term *term, int64_t epoch,
+                          const char *address)
 {
   struct rst_pack pack;
 
@@ -221,24 +224,27 @@
   rst_pack_int (&pack, RST_MSG_REDIRECT);
   rst_pack_int (&pack, epoch);
   rst_pack_text (&pack, address);
-  send_to_all (term, &pack);
+  broadcast (term, &pack);
   rst_pack_clear (&pack);
   end_term (term, "another planner");
 }
 
 /* Others look at once whether they reach the store. */
 static void
-commit_failed (struct rst_term *term, enum rst_result result)
+handle_commit_failure (struct rst_term *term, enum rst_result result)
 {
   rst_ms now = term->config.now ();
   char bytes[16];
 
   g_snprintf (bytes, sizeof bytes, "%u",
-              term->sent.segment != NULL ? term->sent.segment->len : 0);
-  rst_info (RST_TERM_LOG, "Commit is sent again.", "result",
+              term->current_change.segment != NULL
+                  ? term->current_change.segment->len
+                  : 0);
+  rst_info (RST_TERM_LOG_PREFIX, "Commit is sent again.", "result",
             rst_result_name (result), "bytes", bytes);
-  send_alive (term, MAX (now - term->committed_at, TROUBLED_AGE_MS));
-  term->next_alive = now + ALIVE_MS;
+  send_heartbeats (term,
+                   MAX (now - term->last_commit_at, FAILED_COMMIT_AGE_MS));
+  term->next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
 }
 
 static void
@@ -246,35 +252,35 @@
 {
   struct rst_term *term = userdata;
 
-  if (rst_term_call_ended (term))
+  if (rst_term_finish_call (term))
     {
-      term->commit_sent = false;
-      term->commit_next = term->config.now () + RST_TERM_AGAIN_MS;
+      term->commit_in_flight = false;
+      term->commit_retry_at = term->config.now () + RST_TERM_RETRY_DELAY_MS;
       if (answer->result == RST_RESULT_OK)
-        commit_done (term, answer->revision);
+        handle_commit_success (term, answer->revision);
       else if (answer->result == RST_RESULT_CONFLICT)
-        commit_conflict (term, answer);
+        handle_commit_conflict (term, answer);
       else if (!term->won)
         end_term (term, "the store did not answer");
       else
-        commit_failed (term, answer->result);
+        handle_commit_failure (term, answer->result);
     }
   rst_store_answer_free (answer);
 }
 
 /* The planner's commit. */
 static void
-commit (void *userdata, int64_t segment, const void *data, size_t length,
-        const int64_t *remove, int remove_count)
+queue_commit (void *userdata, int64_t segment, const void *data, size_t length,
+              const int64_t *remove, int remove_count)
 {
   struct rst_term *term = userdata;
 
-  struct change *change = &term->waiting;
+  struct change *change = &term->next_change;
 
   segment_key (change->key, sizeof change->key, segment);
   change->segment = g_byte_array_new ();
   g_byte_array_append (change->segment, data, (guint)length);
-  change->removed_count = MIN (remove_count, RST_TERM_WRITES_MAX - 2);
+  change->removed_count = MIN (remove_count, RST_TERM_COMMIT_WRITES_MAX - 2);
   for (int i = 0; i < change->removed_count; i++)
     segment_key (change->removed[i], sizeof change->removed[i], remove[i]);
   if (!term->committing)
@@ -294,7 +300,7 @@
   rst_pack_int (&pack, reply->state);
   rst_pack_int (&pack, reply->count);
   rst_pack_int (&pack, reply->retry_s);
-  send_to (userdata, link, pack.buffer.data, pack.buffer.size);
+  send_frame (userdata, link, pack.buffer.data, pack.buffer.size);
   rst_pack_clear (&pack);
 }
 
@@ -307,29 +313,30 @@
   rst_pack_int (&pack, RST_MSG_WELCOME);
   rst_pack_int (&pack, term->record.epoch);
   rst_pack_int (&pack, term->serving ? 1 : 0);
-  send_to (term, link, pack.buffer.data, pack.buffer.size);
+  send_frame (term, link, pack.buffer.data, pack.buffer.size);
   rst_pack_clear (&pack);
 }
 
 void
-rst_term_set_time (struct rst_term *term)
+rst_term_update_planner_time (struct rst_term *term)
 {
   rst_planner_set_time (term->planner, term->config.now (),
                         term->config.unix_now ());
 }
 
 static void
-begin_reading (struct rst_term *term)
+start_restore (struct rst_term *term)
 {
-  struct rst_planner_ops ops = { send_to, send_reply, commit, term };
+  struct rst_planner_ops ops = { send_frame, send_reply, queue_commit, term };
   char epoch[24];
 
   g_snprintf (epoch, sizeof epoch, "%" PRId64, term->record.epoch);
-  rst_info (RST_TERM_LOG, "This process is the planner.", "epoch", epoch);
+  rst_info (RST_TERM_LOG_PREFIX, "This process is the planner.", "epoch",
+            epoch);
   term->config.won (term->config.userdata);
   term->planner
       = rst_planner_create (&ops, &term->config.timing, term->record.epoch);
-  term->reading = READING_JOURNAL;
+  term->restore_phase = RESTORE_JOURNAL;
   rst_term_read_journal (term);
 }
 
@@ -352,7 +359,7 @@
 }
 
 static void
-take_hello (struct rst_term *term, uint64_t link, struct rst_reader *reader)
+handle_hello (struct rst_term *term, uint64_t link, struct rst_reader *reader)
 {
   enum rst_role role = (enum rst_role)rst_reader_read_int (reader);
   char *name = rst_reader_read_text (reader);
@@ -369,7 +376,7 @@
 }
 
 static void
-take_call (struct rst_term *term, uint64_t link, struct rst_reader *reader)
+handle_call (struct rst_term *term, uint64_t link, struct rst_reader *reader)
 {
   struct rst_planner_call call = { 0 };
   struct rst_reader inner;
@@ -396,19 +403,19 @@
 }
 
 static void
-take_moved (struct rst_term *term, struct rst_reader *reader)
+handle_redirect (struct rst_term *term, struct rst_reader *reader)
 {
   char address[RST_ADDRESS_SIZE];
   int64_t epoch = rst_reader_read_int (reader);
 
   rst_reader_copy_text (reader, address, sizeof address);
   if (!reader->bad)
-    rst_term_moved (term, epoch, address);
+    rst_term_handle_redirect (term, epoch, address);
 }
 
 void
-rst_term_frame (struct rst_term *term, uint64_t link, const void *data,
-                size_t length)
+rst_term_handle_frame (struct rst_term *term, uint64_t link, const void *data,
+                       size_t length)
 {
   msgpack_unpacked unpacked;
   struct rst_reader reader;
@@ -423,51 +430,51 @@
       return;
     }
   kind = (int)rst_reader_read_int (&reader);
-  rst_term_set_time (term);
+  rst_term_update_planner_time (term);
   if (kind == RST_MSG_HELLO)
-    take_hello (term, link, &reader);
+    handle_hello (term, link, &reader);
   else if (kind == RST_MSG_REDIRECT)
-    take_moved (term, &reader);
+    handle_redirect (term, &reader);
   else if (kind != RST_MSG_CALL)
     rst_planner_receive_message (term->planner, link, kind, &reader);
   else if (term->serving)
-    take_call (term, link, &reader);
+    handle_call (term, link, &reader);
   msgpack_unpacked_destroy (&unpacked);
 }
 
 void
-rst_term_link_closed (struct rst_term *term, uint64_t link)
+rst_term_handle_link_closed (struct rst_term *term, uint64_t link)
 {
   if (!g_hash_table_remove (term->links, &link) || term->planner == NULL)
     return;
-  rst_term_set_time (term);
+  rst_term_update_planner_time (term);
   rst_planner_link_closed (term->planner, link);
 }
 
 static void
-begin_serving (struct rst_term *term)
+start_serving (struct rst_term *term)
 {
   GHashTableIter iter;
   gpointer key;
 
   term->serving = true;
-  rst_info (RST_TERM_LOG, "Callers are served.");
+  rst_info (RST_TERM_LOG_PREFIX, "Callers are served.");
   g_hash_table_iter_init (&iter, term->links);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     send_welcome (term, *(uint64_t *)key);
 }
 
 static rst_ms
-follow (struct rst_term *term)
+run_watches (struct rst_term *term)
 {
-  rst_ms wake = term->config.now () + ALIVE_MS;
+  rst_ms wake = term->config.now () + HEARTBEAT_INTERVAL_MS;
 
   if (term->resigning)
     return wake;
-  if (term->operators != NULL)
-    wake = MIN (wake, rst_follow_run (term->operators));
-  if (term->instances != NULL)
-    wake = MIN (wake, rst_follow_run (term->instances));
+  if (term->operator_watch != NULL)
+    wake = MIN (wake, rst_prefix_watch_run (term->operator_watch));
+  if (term->instance_watch != NULL)
+    wake = MIN (wake, rst_prefix_watch_run (term->instance_watch));
   return wake;
 }
 
@@ -475,31 +482,32 @@
 rst_term_run (struct rst_term *term)
 {
   rst_ms now = term->config.now ();
-  rst_ms wake = now + ALIVE_MS;
+  rst_ms wake = now + HEARTBEAT_INTERVAL_MS;
 
-  if (term->committing && !term->commit_sent && now >= term->commit_next)
+  if (term->committing && !term->commit_in_flight
+      && now >= term->commit_retry_at)
     send_commit (term);
   if (!term->won)
     return wake;
-  if (!term->committing && now - term->committed_at >= RENEW_MS)
+  if (!term->committing && now - term->last_commit_at >= RECORD_RENEW_MS)
     begin_commit (term);
-  if (term->read_at != 0 && now >= term->read_at)
+  if (term->journal_retry_at != 0 && now >= term->journal_retry_at)
     {
-      term->read_at = 0;
+      term->journal_retry_at = 0;
       rst_term_read_journal (term);
     }
   rst_planner_set_time (term->planner, now, term->config.unix_now ());
   if (!term->serving && rst_planner_is_ready (term->planner))
-    begin_serving (term);
-  if (now >= term->next_alive)
+    start_serving (term);
+  if (now >= term->next_heartbeat_at)
     {
-      term->next_alive = now + ALIVE_MS;
-      send_alive (term, now - term->committed_at);
+      term->next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
+      send_heartbeats (term, now - term->last_commit_at);
     }
   wake = MIN (wake, rst_planner_run (term->planner));
-  wake = MIN (wake, follow (term));
-  if (term->committing && !term->commit_sent)
-    wake = MIN (wake, term->commit_next);
+  wake = MIN (wake, run_watches (term));
+  if (term->committing && !term->commit_in_flight)
+    wake = MIN (wake, term->commit_retry_at);
   return wake;
 }
 
@@ -513,19 +521,19 @@
 }
 
 bool
-rst_term_idle (const struct rst_term *term)
+rst_term_is_idle (const struct rst_term *term)
 {
   return !term->committing && term->resigning == term->resigned;
 }
 
 int64_t
-rst_term_epoch (const struct rst_term *term)
+rst_term_get_epoch (const struct rst_term *term)
 {
   return term->record.epoch;
 }
 
 const struct rst_planner *
-rst_term_planner (const struct rst_term *term)
+rst_term_get_planner (const struct rst_term *term)
 {
   return term->planner;
 }
--- a/src/daemon/term.h
+++ b/src/daemon/term.h
@@ -61,30 +61,32 @@
  */
 void rst_term_destroy (struct rst_term *term);
 
-/** rst_term_frame() - A frame came over a link that is not to a planner. */
-void rst_term_frame (struct rst_term *term, uint64_t link, const void *data,
-                     size_t length);
+/** rst_term_handle_frame() - A frame came over a link that is not to a
+ * planner. */
+void rst_term_handle_frame (struct rst_term *term, uint64_t link,
+                            const void *data, size_t length);
 
-/** rst_term_link_closed() - A link is gone. */
-void rst_term_link_closed (struct rst_term *term, uint64_t link);
+/** rst_term_handle_link_closed() - A link is gone. */
+void rst_term_handle_link_closed (struct rst_term *term, uint64_t link);
 
 /** rst_term_run() - Does what is due; returns when to be called again. */
 rst_ms rst_term_run (struct rst_term *term);
 
-/** rst_term_moved() - Another process says that it is the planner. */
-void rst_term_moved (struct rst_term *term, int64_t epoch,
-                     const char *address);
+/** rst_term_handle_redirect() - Another process says that it is the planner.
+ */
+void rst_term_handle_redirect (struct rst_term *term, int64_t epoch,
+                               const char *address);
 
 /** rst_term_resign() - Gives the planner's key up at a planned stop. */
 void rst_term_resign (struct rst_term *term);
 
-/** rst_term_idle() - Whether no change of the store is under way. */
-bool rst_term_idle (const struct rst_term *term);
+/** rst_term_is_idle() - Whether no change of the store is under way. */
+bool rst_term_is_idle (const struct rst_term *term);
 
-/** rst_term_planner() - The planner, or NULL until the term is won. */
-const struct rst_planner *rst_term_planner (const struct rst_term *term);
+/** rst_term_get_planner() - The planner, or NULL until the term is won. */
+const struct rst_planner *rst_term_get_planner (const struct rst_term *term);
 
-/** rst_term_epoch() - The epoch of the term. */
-int64_t rst_term_epoch (const struct rst_term *term);
+/** rst_term_get_epoch() - The epoch of the term. */
+int64_t rst_term_get_epoch (const struct rst_term *term);
 
 #endif
--- a/src/daemon/term_private.h
+++ b/src/daemon/term_private.h
@@ -7,27 +7,27 @@
 #ifndef RST_TERM_PRIVATE_H
 #define RST_TERM_PRIVATE_H
 
-#include "daemon/follow.h"
+#include "daemon/prefix_watch.h"
 #include "daemon/term.h"
 #include "util/log.h"
 
-#define RST_TERM_LOG "term"
+#define RST_TERM_LOG_PREFIX "term"
 
 /** Prefix of the journal's segments. */
-#define RST_SEGMENT_PREFIX "rosemarystile/log/"
+#define RST_TERM_SEGMENT_PREFIX "rosemarystile/log/"
 
 /** Pause after a call that failed, in milliseconds. */
-#define RST_TERM_AGAIN_MS 100
+#define RST_TERM_RETRY_DELAY_MS 100
 
 /** Writes of one commit: the planner's key, a segment and those removed. */
-#define RST_TERM_WRITES_MAX 20
+#define RST_TERM_COMMIT_WRITES_MAX 20
 
-enum reading
+enum restore_phase
 {
-  READING_JOURNAL,
-  READING_OPERATORS,
-  READING_INSTANCES,
-  READING_DONE,
+  RESTORE_JOURNAL,
+  RESTORE_OPERATORS,
+  RESTORE_INSTANCES,
+  RESTORE_DONE,
 };
 
 /* What a commit changes beside the planner's key. */
@@ -35,7 +35,7 @@
 {
   char key[64];
   GByteArray *segment;
-  char removed[RST_TERM_WRITES_MAX][64];
+  char removed[RST_TERM_COMMIT_WRITES_MAX][64];
   int removed_count;
 };
 
@@ -51,29 +51,29 @@
   bool resigned;
   bool serving;
   struct rst_planner *planner;
-  enum reading reading;
+  enum restore_phase restore_phase;
   /* When to read the journal's next page again; 0 for not. */
-  rst_ms read_at;
-  char after[256];
-  struct rst_follow *operators;
-  struct rst_follow *instances;
+  rst_ms journal_retry_at;
+  char journal_position[256];
+  struct rst_prefix_watch *operator_watch;
+  struct rst_prefix_watch *instance_watch;
   GHashTable *links;
-  int calls;
+  int pending_calls;
   bool committing;
-  bool commit_sent;
-  rst_ms commit_next;
-  rst_ms sent_at;
-  rst_ms committed_at;
-  struct change waiting;
-  struct change sent;
-  rst_ms next_alive;
+  bool commit_in_flight;
+  rst_ms commit_retry_at;
+  rst_ms commit_sent_at;
+  rst_ms last_commit_at;
+  struct change next_change;
+  struct change current_change;
+  rst_ms next_heartbeat_at;
 };
 
-/** rst_term_call_ended() - Counts an answered call; true when it goes on. */
-bool rst_term_call_ended (struct rst_term *term);
+/** rst_term_finish_call() - Counts an answered call; true when it goes on. */
+bool rst_term_finish_call (struct rst_term *term);
 
-/** rst_term_set_time() - Tells the planner the time. */
-void rst_term_set_time (struct rst_term *term);
+/** rst_term_update_planner_time() - Tells the planner the time. */
+void rst_term_update_planner_time (struct rst_term *term);
 
 /** rst_term_read_journal() - Reads on, behind the last page. */
 void rst_term_read_journal (struct rst_term *term);
--- a/src/daemon/term_read.c
+++ b/src/daemon/term_read.c
@@ -3,65 +3,66 @@
 #include <string.h>
 
 #include "adapter.h"
-#include "daemon/observe.h"
+#include "daemon/store_input.h"
 #include "daemon/term_private.h"
 
 /** Wait of a watch; with its margin it finds a silent connection in time. */
-#define WATCH_WAIT_MS 1000
+#define LONG_POLL_WAIT_MS 1000
 
 /** Pause between two watches of the instances' entries, in milliseconds. */
-#define INSTANCES_EVERY_MS 200
+#define INSTANCE_WATCH_PAUSE_MS 200
 
 static void
-apply_operators (void *userdata, const struct rst_store_item *item)
+apply_operator_item (void *userdata, const struct rst_store_item *item)
 {
   struct rst_term *term = userdata;
 
-  rst_term_set_time (term);
-  rst_observe_operators (term->planner, item);
+  rst_term_update_planner_time (term);
+  rst_store_input_apply_operator_item (term->planner, item);
 }
 
 static void
-apply_instance (void *userdata, const struct rst_store_item *item)
+apply_instance_item (void *userdata, const struct rst_store_item *item)
 {
   struct rst_term *term = userdata;
 
-  rst_term_set_time (term);
-  rst_observe_instance (term->planner, item);
+  rst_term_update_planner_time (term);
+  rst_store_input_apply_instance_item (term->planner, item);
 }
 
-static void next_reading (struct rst_term *term);
+static void start_next_phase (struct rst_term *term);
 
 static void
-on_journal (struct rst_store_answer *answer, void *userdata)
+on_journal_page (struct rst_store_answer *answer, void *userdata)
 {
   struct rst_term *term = userdata;
 
-  if (!rst_term_call_ended (term))
+  if (!rst_term_finish_call (term))
     {
       rst_store_answer_free (answer);
       return;
     }
-  rst_term_set_time (term);
+  rst_term_update_planner_time (term);
   for (guint i = 0; answer->result == RST_RESULT_OK && i < answer->items->len;
        i++)
     {
       const struct rst_store_item *item = g_ptr_array_index (answer->items, i);
       int64_t segment = (int64_t)strtoull (
-          item->key + strlen (RST_SEGMENT_PREFIX), NULL, 16);
+          item->key + strlen (RST_TERM_SEGMENT_PREFIX), NULL, 16);
 
-      g_strlcpy (term->after, item->key, sizeof term->after);
+      g_strlcpy (term->journal_position, item->key,
+                 sizeof term->journal_position);
       if (!rst_planner_restore (term->planner, segment, item->value,
                                 item->length))
-        rst_warning (RST_TERM_LOG, "Segment can't be read whole.", "key",
-                     item->key);
+        rst_warning (RST_TERM_LOG_PREFIX, "Segment can't be read whole.",
+                     "key", item->key);
     }
   if (answer->result != RST_RESULT_OK)
-    term->read_at = term->config.now () + RST_TERM_AGAIN_MS;
+    term->journal_retry_at = term->config.now () + RST_TERM_RETRY_DELAY_MS;
   else if (answer->has_more)
     rst_term_read_journal (term);
   else
-    next_reading (term);
+    start_next_phase (term);
   rst_store_answer_free (answer);
 }
 
@@ -70,48 +71,49 @@
 {
   const struct rst_backend *backend = term->config.backend;
 
-  term->calls++;
-  backend->store_range (backend->userdata, RST_SEGMENT_PREFIX, term->after,
-                        on_journal, term);
+  term->pending_calls++;
+  backend->store_range (backend->userdata, RST_TERM_SEGMENT_PREFIX,
+                        term->journal_position, on_journal_page, term);
 }
 
 static void
-on_read (void *userdata)
+on_list_complete (void *userdata)
 {
   struct rst_term *term = userdata;
 
-  if (term->reading != READING_DONE)
-    next_reading (term);
+  if (term->restore_phase != RESTORE_DONE)
+    start_next_phase (term);
 }
 
-static struct rst_follow *
-start_following (struct rst_term *term, const char *prefix,
-                 void (*apply) (void *, const struct rst_store_item *),
-                 rst_ms pause_ms)
+static struct rst_prefix_watch *
+start_watch (struct rst_term *term, const char *prefix,
+             void (*apply) (void *, const struct rst_store_item *),
+             rst_ms pause_ms)
 {
-  struct rst_follow_config config = { 0 };
+  struct rst_prefix_watch_config config = { 0 };
 
   config.backend = term->config.backend;
   config.now = term->config.now;
   config.prefix = prefix;
-  config.wait_ms = WATCH_WAIT_MS;
+  config.wait_ms = LONG_POLL_WAIT_MS;
   config.pause_ms = pause_ms;
   config.apply = apply;
-  config.read = on_read;
+  config.on_list_complete = on_list_complete;
   config.userdata = term;
-  return rst_follow_create (&config);
+  return rst_prefix_watch_create (&config);
 }
 
 static void
-next_reading (struct rst_term *term)
+start_next_phase (struct rst_term *term)
 {
-  term->reading++;
-  if (term->reading == READING_OPERATORS)
-    term->operators = start_following (term, RST_PLATFORM_OPERATOR_PREFIX,
-                                       apply_operators, 0);
-  else if (term->reading == READING_INSTANCES)
-    term->instances = start_following (term, RST_PLATFORM_INSTANCE_PREFIX,
-                                       apply_instance, INSTANCES_EVERY_MS);
+  term->restore_phase++;
+  if (term->restore_phase == RESTORE_OPERATORS)
+    term->operator_watch = start_watch (term, RST_PLATFORM_OPERATOR_PREFIX,
+                                        apply_operator_item, 0);
+  else if (term->restore_phase == RESTORE_INSTANCES)
+    term->instance_watch
+        = start_watch (term, RST_PLATFORM_INSTANCE_PREFIX, apply_instance_item,
+                       INSTANCE_WATCH_PAUSE_MS);
   else
     rst_planner_finish_restore (term->planner);
 }
