--- a/src/load/load.c
+++ b/src/load/load.c
@@ -26,7 +26,7 @@
 #define KEYS_MAX 64
 
 /** Most tries of one request. */
-#define TRIES_MAX 6
+#define ATTEMPTS_MAX 6
 
 /** Time after the deadline at which a request counts as lost. */
 #define LOST_AFTER_MS 5000
@@ -38,7 +38,7 @@
 {
   struct load *load;
   int number;
-  int tries;
+  int attempts;
   int64_t started_us;
   bool idempotent;
 };
@@ -49,26 +49,26 @@
   int entry_count;
   const char **keys;
   int key_count;
-  int total;
+  int request_count;
   int concurrency;
-  int rate;
+  int rate_per_s;
   int deadline_ms;
   int run_ms;
   int idempotent_percent;
-  bool keyed;
+  bool request_ids;
   bool urgent;
   struct rst_http_client *client;
   pthread_mutex_t lock;
   pthread_cond_t changed;
-  int begun;
-  int ended;
+  int started;
+  int finished;
   int answered;
   int not_run;
   int unknown;
   int lost;
-  int crossed;
-  int refused_key;
-  int tries;
+  int mismatched;
+  int unauthorized;
+  int attempts;
   int64_t *latencies_us;
   unsigned salt;
 };
@@ -76,7 +76,7 @@
 static void send_request (struct request *request);
 
 static void
-finish (struct request *request, int *counter)
+finish_request (struct request *request, int *counter)
 {
   struct load *load = request->load;
 
@@ -85,7 +85,7 @@
   if (counter == &load->answered)
     load->latencies_us[load->answered - 1]
         = rst_os_now_us () - request->started_us;
-  load->ended++;
+  load->finished++;
   pthread_cond_broadcast (&load->changed);
   pthread_mutex_unlock (&load->lock);
   g_free (request);
@@ -93,64 +93,66 @@
 
 /* Whether an answer belongs to this request and is whole. */
 static bool
-is_own_answer (const struct request *request,
-               const struct rst_http_result *result)
+is_matching_answer (const struct request *request,
+                    const struct rst_http_result *result)
 {
   struct json_object *root = rst_json_parse (result->body);
   struct json_object *answer = NULL;
-  bool own = false;
+  bool matches = false;
 
   if (json_object_object_get_ex (root, "answer", &answer))
-    own = rst_json_number (answer, "n", -1) == request->number
-          && rst_json_number (answer, "salt", -1)
-                 == (int64_t)request->load->salt;
+    matches = rst_json_get_number (answer, "n", -1) == request->number
+              && rst_json_get_number (answer, "salt", -1)
+                     == (int64_t)request->load->salt;
   json_object_put (root);
-  return own;
+  return matches;
 }
 
 static bool
 is_not_run (const struct rst_http_result *result)
 {
   struct json_object *root = rst_json_parse (result->body);
-  bool not_run = g_strcmp0 (rst_json_text (root, "outcome"), "not-run") == 0;
+  bool not_run
+      = g_strcmp0 (rst_json_get_text (root, "outcome"), "not-run") == 0;
 
   json_object_put (root);
   return not_run;
 }
 
 static void
-on_done (const struct rst_http_result *result, void *userdata)
+handle_result (const struct rst_http_result *result, void *userdata)
 {
   struct request *request = userdata;
   struct load *load = request->load;
-  bool again = request->tries < TRIES_MAX;
+  bool may_retry = request->attempts < ATTEMPTS_MAX;
 
-  if (result->error == RST_TRANSPORT_NOT_SENT && again)
+  if (result->error == RST_TRANSPORT_NOT_SENT && may_retry)
     send_request (request);
   else if (result->error == RST_TRANSPORT_NOT_SENT)
-    finish (request, &load->not_run);
+    finish_request (request, &load->not_run);
   else if (result->error == RST_TRANSPORT_TIMEOUT)
-    finish (request, &load->lost);
+    finish_request (request, &load->lost);
   else if (result->error != RST_TRANSPORT_OK)
-    finish (request, &load->unknown);
+    finish_request (request, &load->unknown);
   else if (result->status == 200)
-    finish (request, is_own_answer (request, result) ? &load->answered
-                                                     : &load->crossed);
+    finish_request (request, is_matching_answer (request, result)
+                                 ? &load->answered
+                                 : &load->mismatched);
   else if (result->status == 401)
-    finish (request, &load->refused_key);
-  else if (is_not_run (result) && result->status == 503 && again)
+    finish_request (request, &load->unauthorized);
+  else if (is_not_run (result) && result->status == 503 && may_retry)
     send_request (request);
   else if (is_not_run (result))
-    finish (request, &load->not_run);
+    finish_request (request, &load->not_run);
   else
-    finish (request, &load->unknown);
+    finish_request (request, &load->unknown);
 }
 
 static void
 send_request (struct request *request)
 {
   struct load *load = request->load;
-  int entry = (request->number + request->tries) % load->entry_count;
+  int entry = (request->number + request->attempts) % load->entry_count;
   struct rst_http_call call = { 0 };
   char url[128];
   char key[256];
@@ -160,7 +162,7 @@
   const char *headers[7] = { 0 };
   int count = 0;
 
-  request->tries++;
+  request->attempts++;
   g_snprintf (url, sizeof url, "http://%s/v1/requests", load->entries[entry]);
   g_snprintf (key, sizeof key, "Authorization: Bearer %s",
               load->keys[request->number % load->key_count]);
@@ -175,7 +177,7 @@
   headers[count++]
       = request->idempotent ? "X-Idempotent: true" : "X-Idempotent: false";
   headers[count++] = load->urgent ? "X-Urgency: urgent" : "X-Urgency: normal";
-  if (load->keyed)
+  if (load->request_ids)
     headers[count++] = id;
   call.method = "POST";
   call.url = url;
@@ -183,20 +185,20 @@
   call.body = body;
   call.length = strlen (body);
   call.timeout_ms = load->deadline_ms + LOST_AFTER_MS;
-  call.fresh = !request->idempotent && !load->keyed;
-  call.done = on_done;
+  call.new_connection = !request->idempotent && !load->request_ids;
+  call.done = handle_result;
   call.userdata = request;
   if (rst_http_client_send (load->client, &call) != RST_TRANSPORT_OK)
-    finish (request, &load->not_run);
+    finish_request (request, &load->not_run);
 }
 
 static struct request *
-begin (struct load *load)
+create_request (struct load *load)
 {
   struct request *request = g_new0 (struct request, 1);
 
   request->load = load;
-  request->number = load->begun++;
+  request->number = load->started++;
   request->idempotent = request->number % 100 < load->idempotent_percent;
   request->started_us = rst_os_now_us ();
   return request;
@@ -205,41 +207,42 @@
 /* Waits until another request may begin: at most a number of them at once,
    or at a steady rate. */
 static void
-pace (struct load *load, int64_t started_us)
+wait_for_turn (struct load *load, int64_t started_us)
 {
-  if (load->rate > 0)
+  if (load->rate_per_s > 0)
     {
-      int64_t due = started_us + (int64_t)load->begun * 1000000 / load->rate;
-      int64_t wait = due - rst_os_now_us ();
+      int64_t due_us
+          = started_us + (int64_t)load->started * 1000000 / load->rate_per_s;
+      int64_t wait_us = due_us - rst_os_now_us ();
 
-      if (wait > 0)
-        g_usleep ((gulong)wait);
+      if (wait_us > 0)
+        g_usleep ((gulong)wait_us);
       return;
     }
   pthread_mutex_lock (&load->lock);
-  while (load->begun - load->ended >= load->concurrency)
+  while (load->started - load->finished >= load->concurrency)
     pthread_cond_wait (&load->changed, &load->lock);
   pthread_mutex_unlock (&load->lock);
 }
 
 static void
-run (struct load *load)
+send_all_requests (struct load *load)
 {
   int64_t started_us = rst_os_now_us ();
 
-  while (load->begun < load->total)
+  while (load->started < load->request_count)
     {
-      pace (load, started_us);
-      send_request (begin (load));
+      wait_for_turn (load, started_us);
+      send_request (create_request (load));
     }
   pthread_mutex_lock (&load->lock);
-  while (load->ended < load->total)
+  while (load->finished < load->request_count)
     pthread_cond_wait (&load->changed, &load->lock);
   pthread_mutex_unlock (&load->lock);
 }
 
 static int
-compare (const void *a, const void *b)
+compare_latencies (const void *a, const void *b)
 {
   int64_t x = *(const int64_t *)a;
   int64_t y = *(const int64_t *)b;
@@ -248,40 +251,41 @@
 }
 
 static double
-percentile_ms (const struct load *load, double part)
+percentile_ms (const struct load *load, double fraction)
 {
   int index;
 
   if (load->answered == 0)
     return 0;
-  index = (int)ceil (part * load->answered) - 1;
+  index = (int)ceil (fraction * load->answered) - 1;
   return (double)load->latencies_us[MAX (index, 0)] / 1000;
 }
 
 static void
-print_account (const struct load *load, double seconds)
+print_summary (const struct load *load, double seconds)
 {
   printf ("{\"requests\":%d,\"answered\":%d,\"not_run\":%d,\"unknown\":%d,"
           "\"unauthorized\":%d,\"lost\":%d,\"crossed\":%d,"
           "\"seconds\":%.3f,\"rate\":%.1f,\"p50_ms\":%.2f,\"p90_ms\":%.2f,"
           "\"p99_ms\":%.2f,\"max_ms\":%.2f,\"run_ms\":%d}\n",
-          load->total, load->answered, load->not_run, load->unknown,
-          load->refused_key, load->lost, load->crossed, seconds,
-          load->total / seconds, percentile_ms (load, 0.5),
+          load->request_count, load->answered, load->not_run, load->unknown,
+          load->unauthorized, load->lost, load->mismatched, seconds,
+          load->request_count / seconds, percentile_ms (load, 0.5),
           percentile_ms (load, 0.9), percentile_ms (load, 0.99),
           percentile_ms (load, 1.0), load->run_ms);
 }
 
 static bool
-check_entries (const struct load *load)
+check_options (const struct load *load)
 {
   for (int i = 0; i < load->entry_count; i++)
-    if (!rst_conf_valid_address (load->entries[i]))
+    if (!rst_conf_is_address (load->entries[i]))
       {
         fprintf (stderr, PROGRAM ": --entry: must be an address IP:PORT\n");
         return false;
       }
-  if (load->total < 1 || load->concurrency < 1 || load->deadline_ms < 1)
+  if (load->request_count < 1 || load->concurrency < 1
+      || load->deadline_ms < 1)
     {
       fprintf (stderr, PROGRAM ": --requests, --concurrency, --deadline-ms: "
                                "must be at least 1\n");
@@ -300,22 +304,23 @@
     return EXIT_FAILURE;
   pthread_mutex_init (&load->lock, NULL);
   pthread_cond_init (&load->changed, NULL);
-  load->latencies_us = g_new0 (int64_t, load->total);
+  load->latencies_us = g_new0 (int64_t, load->request_count);
   load->salt = (unsigned)(rst_os_random () & 0x7fffffff);
   started_us = rst_os_now_us ();
-  run (load);
+  send_all_requests (load);
   rst_http_client_destroy (load->client);
   qsort (load->latencies_us, (size_t)load->answered, sizeof (int64_t),
-         compare);
-  print_account (load, (double)(rst_os_now_us () - started_us) / 1e6);
+         compare_latencies);
+  print_summary (load, (double)(rst_os_now_us () - started_us) / 1e6);
   g_free (load->latencies_us);
-  return load->lost == 0 && load->crossed == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
+  return load->lost == 0 && load->mismatched == 0 ? EXIT_SUCCESS
+                                                  : EXIT_FAILURE;
 }
 
 static int
-value_or (const struct arg_int *argument, int otherwise)
+value_or (const struct arg_int *argument, int default_value)
 {
-  return argument->count > 0 ? argument->ival[0] : otherwise;
+  return argument->count > 0 ? argument->ival[0] : default_value;
 }
 
 int
@@ -331,21 +336,21 @@
       = arg_int0 (NULL, "requests", "N", "requests to send (1000)");
   struct arg_int *concurrency
       = arg_int0 (NULL, "concurrency", "N", "requests at once (32)");
-  struct arg_int *rate = arg_int0 (NULL, "rate", "N",
-                                   "requests a second, whatever is answered");
+  struct arg_int *rate_per_s = arg_int0 (
+      NULL, "rate", "N", "requests a second, whatever is answered");
   struct arg_int *deadline
       = arg_int0 (NULL, "deadline-ms", "N", "deadline of each (10000)");
   struct arg_int *run_ms
       = arg_int0 (NULL, "run-ms", "N", "run time on the runner (5)");
   struct arg_int *idempotent = arg_int0 (NULL, "idempotent-percent", "N",
                                          "part marked idempotent (0)");
-  struct arg_lit *keyed
+  struct arg_lit *request_ids
       = arg_lit0 (NULL, "request-ids", "send an Idempotency-Key with each");
   struct arg_lit *urgent = arg_lit0 (NULL, "urgent", "mark all as urgent");
   struct arg_end *end = arg_end (4);
-  void *table[]
-      = { help,     version, entries,    keys,  requests, concurrency, rate,
-          deadline, run_ms,  idempotent, keyed, urgent,   end };
+  void *table[] = { help,        version,    entries,  keys,   requests,
+                    concurrency, rate_per_s, deadline, run_ms, idempotent,
+                    request_ids, urgent,     end };
   struct load load = { 0 };
   int errors = arg_parse (argc, argv, table);
   int status;
@@ -354,13 +359,13 @@
   load.entry_count = entries->count;
   load.keys = keys->sval;
   load.key_count = keys->count;
-  load.total = value_or (requests, 1000);
+  load.request_count = value_or (requests, 1000);
   load.concurrency = value_or (concurrency, 32);
-  load.rate = value_or (rate, 0);
+  load.rate_per_s = value_or (rate_per_s, 0);
   load.deadline_ms = value_or (deadline, 10000);
   load.run_ms = value_or (run_ms, 5);
   load.idempotent_percent = value_or (idempotent, 0);
-  load.keyed = keyed->count > 0;
+  load.request_ids = request_ids->count > 0;
   load.urgent = urgent->count > 0;
   if (help->count > 0)
     {
@@ -382,7 +387,7 @@
         fprintf (stderr, PROGRAM ": --entry and --key: are missing\n");
       status = 2;
     }
-  else if (!check_entries (&load))
+  else if (!check_options (&load))
     status = 2;
   else
     {
--- a/src/protocol/message.c
+++ b/src/protocol/message.c
@@ -6,7 +6,7 @@
 #include <msgpack.h>
 
 /** Elements before a message's own fields: version, type and number. */
-#define HEADER_FIELDS 3
+#define HEADER_ELEMENTS 3
 
 enum field_type
 {
@@ -30,105 +30,122 @@
   int count;
 };
 
-#define U(structure, member)                                                  \
+#define UINT_FIELD(structure, member)                                         \
   {                                                                           \
 #member, FIELD_UINT, offsetof(struct structure, member)                   \
   }
-#define B(structure, member)                                                  \
+#define BOOL_FIELD(structure, member)                                         \
   {                                                                           \
 #member, FIELD_BOOL, offsetof(struct structure, member)                   \
   }
-#define T(structure, member)                                                  \
+#define TEXT_FIELD(structure, member)                                         \
   {                                                                           \
 #member, FIELD_TEXT, offsetof(struct structure, member)                   \
   }
-#define D(structure, member)                                                  \
+#define BLOB_FIELD(structure, member)                                         \
   {                                                                           \
 #member, FIELD_BLOB, offsetof(struct structure, member)                   \
   }
 
 static const struct field hello_fields[] = {
-  U (rst_hello, role),    T (rst_hello, name),
-  T (rst_hello, zone),    T (rst_hello, incarnation),
-  T (rst_hello, address), T (rst_hello, status_address),
+  UINT_FIELD (rst_hello, role),    TEXT_FIELD (rst_hello, name),
+  TEXT_FIELD (rst_hello, zone),    TEXT_FIELD (rst_hello, incarnation),
+  TEXT_FIELD (rst_hello, address), TEXT_FIELD (rst_hello, status_address),
 };
 
 static const struct field promise_fields[] = {
-  T (rst_promise, incarnation),
-  U (rst_promise, number),
-  U (rst_promise, duration_ms),
+  TEXT_FIELD (rst_promise, incarnation),
+  UINT_FIELD (rst_promise, number),
+  UINT_FIELD (rst_promise, duration_ms),
 };
 
 static const struct field digest_fields[] = {
-  U (rst_digest, hash),
-  U (rst_digest, newest),
+  UINT_FIELD (rst_settings_digest, hash),
+  UINT_FIELD (rst_settings_digest, newest),
 };
 
 static const struct field branch_fields[] = {
-  T (rst_branch_message, key),
-  U (rst_branch_message, revision),
-  D (rst_branch_message, value),
+  TEXT_FIELD (rst_settings_branch, key),
+  UINT_FIELD (rst_settings_branch, revision),
+  BLOB_FIELD (rst_settings_branch, value),
 };
 
 static const struct field load_fields[] = {
-  T (rst_load, incarnation),      T (rst_load, zone),
-  U (rst_load, slots_free),       U (rst_load, slots_total),
-  U (rst_load, queued),           U (rst_load, cpu_free),
-  U (rst_load, memory_free_mb),   U (rst_load, accelerators_free),
-  U (rst_load, largest_cpu_free), B (rst_load, ready),
+  TEXT_FIELD (rst_load, incarnation),
+  TEXT_FIELD (rst_load, zone),
+  UINT_FIELD (rst_load, slots_free),
+  UINT_FIELD (rst_load, slots_total),
+  UINT_FIELD (rst_load, queued),
+  UINT_FIELD (rst_load, cpu_free),
+  UINT_FIELD (rst_load, memory_free_mb),
+  UINT_FIELD (rst_load, accelerators_free),
+  UINT_FIELD (rst_load, largest_cpu_free),
+  BOOL_FIELD (rst_load, ready),
 };
 
 static const struct field query_fields[] = {
-  T (rst_query, team),   T (rst_query, request_id),
-  B (rst_query, keyed),  B (rst_query, idempotent),
-  B (rst_query, urgent), U (rst_query, deadline_ms),
-  U (rst_query, hops),   D (rst_query, body),
+  TEXT_FIELD (rst_query, team),   TEXT_FIELD (rst_query, request_id),
+  BOOL_FIELD (rst_query, keyed),  BOOL_FIELD (rst_query, idempotent),
+  BOOL_FIELD (rst_query, urgent), UINT_FIELD (rst_query, deadline_ms),
+  UINT_FIELD (rst_query, hops),   BLOB_FIELD (rst_query, body),
 };
 
 static const struct field answer_fields[] = {
-  U (rst_answer, outcome), U (rst_answer, status),   T (rst_answer, reason),
-  T (rst_answer, detail),  T (rst_answer, instance), U (rst_answer, epoch),
-  D (rst_answer, body),
+  UINT_FIELD (rst_answer, outcome),  UINT_FIELD (rst_answer, status),
+  TEXT_FIELD (rst_answer, reason),   TEXT_FIELD (rst_answer, detail),
+  TEXT_FIELD (rst_answer, instance), UINT_FIELD (rst_answer, epoch),
+  BLOB_FIELD (rst_answer, body),
 };
 
 static const struct field job_call_fields[] = {
-  U (rst_job_call, operation), T (rst_job_call, team), T (rst_job_call, job),
-  T (rst_job_call, state),     U (rst_job_call, hops), D (rst_job_call, body),
+  UINT_FIELD (rst_job_call, operation), TEXT_FIELD (rst_job_call, team),
+  TEXT_FIELD (rst_job_call, job),       TEXT_FIELD (rst_job_call, state),
+  UINT_FIELD (rst_job_call, hops),      BLOB_FIELD (rst_job_call, body),
 };
 
 static const struct field job_reply_fields[] = {
-  U (rst_job_reply, status),
-  D (rst_job_reply, body),
+  UINT_FIELD (rst_job_reply, status),
+  BLOB_FIELD (rst_job_reply, body),
 };
 
 static const struct field task_start_fields[] = {
-  T (rst_task_start, team),         T (rst_task_start, job),
-  T (rst_task_start, owner),        U (rst_task_start, index),
-  U (rst_task_start, attempt),      U (rst_task_start, policy),
-  U (rst_task_start, cpu),          U (rst_task_start, memory_mb),
-  U (rst_task_start, accelerators), U (rst_task_start, run_ms),
-  U (rst_task_start, deadline_ms),  B (rst_task_start, hold_only),
-  B (rst_task_start, run_once),
+  TEXT_FIELD (rst_task_start, team),
+  TEXT_FIELD (rst_task_start, job),
+  TEXT_FIELD (rst_task_start, owner),
+  UINT_FIELD (rst_task_start, index),
+  UINT_FIELD (rst_task_start, attempt),
+  UINT_FIELD (rst_task_start, policy),
+  UINT_FIELD (rst_task_start, cpu),
+  UINT_FIELD (rst_task_start, memory_mb),
+  UINT_FIELD (rst_task_start, accelerators),
+  UINT_FIELD (rst_task_start, run_ms),
+  UINT_FIELD (rst_task_start, deadline_ms),
+  BOOL_FIELD (rst_task_start, hold_only),
+  BOOL_FIELD (rst_task_start, run_once),
 };
 
 static const struct field task_event_fields[] = {
-  T (rst_task_event, job),      U (rst_task_event, index),
-  U (rst_task_event, attempt),  U (rst_task_event, result),
-  T (rst_task_event, instance), T (rst_task_event, reason),
+  TEXT_FIELD (rst_task_event, job),      UINT_FIELD (rst_task_event, index),
+  UINT_FIELD (rst_task_event, attempt),  UINT_FIELD (rst_task_event, result),
+  TEXT_FIELD (rst_task_event, instance), TEXT_FIELD (rst_task_event, reason),
 };
 
 static const struct field adopted_fields[] = {
-  T (rst_adopted, instance),
-  T (rst_adopted, team),
-  U (rst_adopted, count),
+  TEXT_FIELD (rst_adopted_runs, instance),
+  TEXT_FIELD (rst_adopted_runs, team),
+  UINT_FIELD (rst_adopted_runs, count),
 };
 
 static const struct field record_fields[] = {
-  T (rst_record_message, key),      U (rst_record_message, state),
-  U (rst_record_message, outcome),  U (rst_record_message, status),
-  T (rst_record_message, reason),   T (rst_record_message, detail),
-  T (rst_record_message, instance), U (rst_record_message, epoch),
-  D (rst_record_message, body),
+  TEXT_FIELD (rst_request_record, key),
+  UINT_FIELD (rst_request_record, state),
+  UINT_FIELD (rst_request_record, outcome),
+  UINT_FIELD (rst_request_record, status),
+  TEXT_FIELD (rst_request_record, reason),
+  TEXT_FIELD (rst_request_record, detail),
+  TEXT_FIELD (rst_request_record, instance),
+  UINT_FIELD (rst_request_record, epoch),
+  BLOB_FIELD (rst_request_record, body),
 };
 
 #define LAYOUT(name, fields)                                                  \
@@ -138,10 +155,10 @@
 
 static const struct layout layouts[RST_MESSAGE_TYPES] = {
   [RST_HELLO] = LAYOUT ("hello", hello_fields),
-  [RST_PROMISE_ASK] = LAYOUT ("promise-ask", promise_fields),
+  [RST_PROMISE_REQUEST] = LAYOUT ("promise-ask", promise_fields),
   [RST_PROMISE] = LAYOUT ("promise", promise_fields),
-  [RST_DIGEST] = LAYOUT ("digest", digest_fields),
-  [RST_BRANCH] = LAYOUT ("branch", branch_fields),
+  [RST_SETTINGS_DIGEST] = LAYOUT ("digest", digest_fields),
+  [RST_SETTINGS_BRANCH] = LAYOUT ("branch", branch_fields),
   [RST_LOAD] = LAYOUT ("load", load_fields),
   [RST_QUERY] = LAYOUT ("query", query_fields),
   [RST_ANSWER] = LAYOUT ("answer", answer_fields),
@@ -150,13 +167,13 @@
   [RST_TASK_START] = LAYOUT ("task-start", task_start_fields),
   [RST_TASK_STARTED] = LAYOUT ("task-started", task_event_fields),
   [RST_TASK_END] = LAYOUT ("task-end", task_event_fields),
-  [RST_TASK_END_SEEN] = LAYOUT ("task-end-seen", task_event_fields),
+  [RST_TASK_END_ACK] = LAYOUT ("task-end-seen", task_event_fields),
   [RST_TASK_STOP] = LAYOUT ("task-stop", task_event_fields),
   [RST_ADOPTED] = LAYOUT ("adopted", adopted_fields),
   [RST_TASK_FIND] = LAYOUT ("task-find", task_event_fields),
   [RST_TASK_FOUND] = LAYOUT ("task-found", task_event_fields),
-  [RST_RECORD_ASK] = LAYOUT ("record-ask", record_fields),
-  [RST_RECORD] = LAYOUT ("record", record_fields),
+  [RST_REQUEST_RECORD_QUERY] = LAYOUT ("record-ask", record_fields),
+  [RST_REQUEST_RECORD] = LAYOUT ("record", record_fields),
 };
 
 /* All members of the union start at the same place. */
@@ -185,7 +202,7 @@
 }
 
 const char *
-rst_outcome_name (uint64_t outcome)
+rst_request_outcome_name (uint64_t outcome)
 {
   static const char *const names[] = { "answered", "not-run", "unknown" };
 
@@ -240,24 +257,24 @@
 pack_field (msgpack_packer *packer, const struct field *field,
             const char *payload)
 {
-  const void *at = payload + field->offset;
+  const void *value = payload + field->offset;
 
   switch (field->type)
     {
     case FIELD_UINT:
-      msgpack_pack_uint64 (packer, *(const uint64_t *)at);
+      msgpack_pack_uint64 (packer, *(const uint64_t *)value);
       break;
     case FIELD_BOOL:
-      if (*(const bool *)at)
+      if (*(const bool *)value)
         msgpack_pack_true (packer);
       else
         msgpack_pack_false (packer);
       break;
     case FIELD_TEXT:
-      pack_text (packer, *(char *const *)at);
+      pack_text (packer, *(char *const *)value);
       break;
     case FIELD_BLOB:
-      pack_blob (packer, at);
+      pack_blob (packer, value);
       break;
     }
 }
@@ -274,7 +291,7 @@
   layout = &layouts[message->type];
   msgpack_sbuffer_init (&buffer);
   msgpack_packer_init (&packer, &buffer, msgpack_sbuffer_write);
-  msgpack_pack_array (&packer, (size_t)layout->count + HEADER_FIELDS);
+  msgpack_pack_array (&packer, (size_t)layout->count + HEADER_ELEMENTS);
   msgpack_pack_uint64 (&packer, RST_MESSAGE_VERSION);
   msgpack_pack_uint64 (&packer, message->type);
   msgpack_pack_uint64 (&packer, message->id);
@@ -289,30 +306,30 @@
 unpack_field (const struct field *field, const msgpack_object *object,
               char *payload)
 {
-  void *at = payload + field->offset;
+  void *value = payload + field->offset;
 
   switch (field->type)
     {
     case FIELD_UINT:
       if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
         return false;
-      *(uint64_t *)at = object->via.u64;
+      *(uint64_t *)value = object->via.u64;
       return true;
     case FIELD_BOOL:
       if (object->type != MSGPACK_OBJECT_BOOLEAN)
         return false;
-      *(bool *)at = object->via.boolean;
+      *(bool *)value = object->via.boolean;
       return true;
     case FIELD_TEXT:
       if (object->type != MSGPACK_OBJECT_STR
           || memchr (object->via.str.ptr, '\0', object->via.str.size) != NULL)
         return false;
-      *(char **)at = g_strndup (object->via.str.ptr, object->via.str.size);
+      *(char **)value = g_strndup (object->via.str.ptr, object->via.str.size);
       return true;
     default:
       if (object->type != MSGPACK_OBJECT_BIN)
         return false;
-      rst_blob_set (at, object->via.bin.ptr, object->via.bin.size);
+      rst_blob_set (value, object->via.bin.ptr, object->via.bin.size);
       return true;
     }
 }
@@ -323,10 +340,10 @@
   const msgpack_object *header;
 
   if (root->type != MSGPACK_OBJECT_ARRAY
-      || root->via.array.size < HEADER_FIELDS)
+      || root->via.array.size < HEADER_ELEMENTS)
     return RST_PROTOCOL_MALFORMED;
   header = root->via.array.ptr;
-  for (int i = 0; i < HEADER_FIELDS; i++)
+  for (int i = 0; i < HEADER_ELEMENTS; i++)
     if (header[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER)
       return RST_PROTOCOL_MALFORMED;
   if (header[0].via.u64 != RST_MESSAGE_VERSION)
@@ -336,7 +353,7 @@
   out->type = header[1].via.u64;
   out->id = header[2].via.u64;
   if (root->via.array.size
-      != (uint32_t)layouts[out->type].count + HEADER_FIELDS)
+      != (uint32_t)layouts[out->type].count + HEADER_ELEMENTS)
     return RST_PROTOCOL_MALFORMED;
   return RST_PROTOCOL_OK;
 }
@@ -353,7 +370,8 @@
   layout = &layouts[out->type];
   for (int i = 0; i < layout->count; i++)
     if (!unpack_field (&layout->fields[i],
-                       &root->via.array.ptr[HEADER_FIELDS + i], PAYLOAD (out)))
+                       &root->via.array.ptr[HEADER_ELEMENTS + i],
+                       PAYLOAD (out)))
       {
         *field = layout->fields[i].name;
         return RST_PROTOCOL_FIELD;
@@ -371,7 +389,7 @@
 
   memset (out, 0, sizeof *out);
   *field = NULL;
-  if (length > RST_MESSAGE_MAX)
+  if (length > RST_MESSAGE_MAX_BYTES)
     return RST_PROTOCOL_MALFORMED;
   msgpack_unpacked_init (&unpacked);
   if (msgpack_unpack_next (&unpacked, data, length, &offset)
@@ -395,15 +413,16 @@
   layout = &layouts[message->type];
   for (int i = 0; i < layout->count; i++)
     {
-      void *at = PAYLOAD (out) + layout->fields[i].offset;
+      void *value = PAYLOAD (out) + layout->fields[i].offset;
 
       if (layout->fields[i].type == FIELD_TEXT)
-        *(char **)at = g_strdup (*(char **)at != NULL ? *(char **)at : "");
+        *(char **)value
+            = g_strdup (*(char **)value != NULL ? *(char **)value : "");
       else if (layout->fields[i].type == FIELD_BLOB)
         {
-          const struct rst_blob blob = *(struct rst_blob *)at;
+          const struct rst_blob blob = *(struct rst_blob *)value;
 
-          rst_blob_set (at, blob.data, blob.length);
+          rst_blob_set (value, blob.data, blob.length);
         }
     }
 }
@@ -418,12 +437,12 @@
       layout = &layouts[message->type];
       for (int i = 0; i < layout->count; i++)
         {
-          void *at = PAYLOAD (message) + layout->fields[i].offset;
+          void *value = PAYLOAD (message) + layout->fields[i].offset;
 
           if (layout->fields[i].type == FIELD_TEXT)
-            g_free (*(char **)at);
+            g_free (*(char **)value);
           else if (layout->fields[i].type == FIELD_BLOB)
-            rst_blob_free (at);
+            rst_blob_free (value);
         }
     }
   memset (message, 0, sizeof *message);
--- a/src/protocol/message.h
+++ b/src/protocol/message.h
@@ -18,7 +18,7 @@
 #define RST_MESSAGE_VERSION 1
 
 /** Bound on an encoded message in bytes. */
-#define RST_MESSAGE_MAX (2 * 1024 * 1024)
+#define RST_MESSAGE_MAX_BYTES (2 * 1024 * 1024)
 
 /**
  * enum rst_protocol_error - Errors of the protocol layer.
@@ -45,10 +45,10 @@
 /**
  * enum rst_message_type - Types of messages.
  * @RST_HELLO: First on each connection: who speaks.
- * @RST_PROMISE_ASK: Asks a member of the zone not to take over.
+ * @RST_PROMISE_REQUEST: Asks a member of the zone not to take over.
  * @RST_PROMISE: The answer to it.
- * @RST_DIGEST: What settings the sender has in force.
- * @RST_BRANCH: One branch of the settings or one ownership record.
+ * @RST_SETTINGS_DIGEST: What settings the sender has in force.
+ * @RST_SETTINGS_BRANCH: One branch of the settings or one ownership record.
  * @RST_LOAD: Free capacity of a scheduler.
  * @RST_QUERY: One query to be run on a runner.
  * @RST_ANSWER: How a query ended.
@@ -57,21 +57,21 @@
  * @RST_TASK_START: Asks the owner of workers to start a task.
  * @RST_TASK_STARTED: Whether it was started.
  * @RST_TASK_END: A task has ended.
- * @RST_TASK_END_SEEN: Confirms that the end was recorded.
+ * @RST_TASK_END_ACK: Confirms that the end was recorded.
  * @RST_TASK_STOP: Asks to stop a task.
  * @RST_ADOPTED: What a new owner found running on a yielded instance.
  * @RST_TASK_FIND: Asks whether a task is known.
  * @RST_TASK_FOUND: The answer to it.
- * @RST_RECORD_ASK: Asks whether a request id is known.
- * @RST_RECORD: The answer to it.
+ * @RST_REQUEST_RECORD_QUERY: Asks whether a request id is known.
+ * @RST_REQUEST_RECORD: The answer to it.
  */
 enum rst_message_type
 {
   RST_HELLO = 1,
-  RST_PROMISE_ASK,
+  RST_PROMISE_REQUEST,
   RST_PROMISE,
-  RST_DIGEST,
-  RST_BRANCH,
+  RST_SETTINGS_DIGEST,
+  RST_SETTINGS_BRANCH,
   RST_LOAD,
   RST_QUERY,
   RST_ANSWER,
@@ -80,38 +80,38 @@
   RST_TASK_START,
   RST_TASK_STARTED,
   RST_TASK_END,
-  RST_TASK_END_SEEN,
+  RST_TASK_END_ACK,
   RST_TASK_STOP,
   RST_ADOPTED,
   RST_TASK_FIND,
   RST_TASK_FOUND,
-  RST_RECORD_ASK,
-  RST_RECORD,
+  RST_REQUEST_RECORD_QUERY,
+  RST_REQUEST_RECORD,
   RST_MESSAGE_TYPES,
 };
 
 /**
- * enum rst_outcome - How a request ended.
- * @RST_ANSWERED: A whole answer came.
- * @RST_NOT_RUN: It provably did not run.
- * @RST_UNKNOWN: It may have run.
+ * enum rst_request_outcome - How a request ended.
+ * @RST_REQUEST_ANSWERED: A whole answer came.
+ * @RST_REQUEST_NOT_RUN: It provably did not run.
+ * @RST_REQUEST_OUTCOME_UNKNOWN: It may have run.
  */
-enum rst_outcome
+enum rst_request_outcome
 {
-  RST_ANSWERED,
-  RST_NOT_RUN,
-  RST_UNKNOWN,
+  RST_REQUEST_ANSWERED,
+  RST_REQUEST_NOT_RUN,
+  RST_REQUEST_OUTCOME_UNKNOWN,
 };
 
-/** rst_outcome_name() - "answered", "not-run" or "unknown". */
-const char *rst_outcome_name (uint64_t outcome);
+/** rst_request_outcome_name() - "answered", "not-run" or "unknown". */
+const char *rst_request_outcome_name (uint64_t outcome);
 
 /**
- * enum rst_role - Kinds of processes.
+ * enum rst_process_role - Kinds of processes.
  * @RST_ROLE_ENTRY: An entry daemon.
  * @RST_ROLE_SCHEDULER: A scheduler daemon.
  */
-enum rst_role
+enum rst_process_role
 {
   RST_ROLE_ENTRY = 1,
   RST_ROLE_SCHEDULER,
@@ -130,7 +130,7 @@
 
 /**
  * struct rst_hello - Who speaks on a connection.
- * @role: A value of enum rst_role.
+ * @role: A value of enum rst_process_role.
  * @name: Name of the process.
  * @zone: Its availability zone.
  * @incarnation: Its incarnation.
@@ -161,23 +161,23 @@
 };
 
 /**
- * struct rst_digest - What branches a process holds.
+ * struct rst_settings_digest - What branches a process holds.
  * @hash: Hash over all keys with their revisions.
  * @newest: Highest revision held.
  */
-struct rst_digest
+struct rst_settings_digest
 {
   uint64_t hash;
   uint64_t newest;
 };
 
 /**
- * struct rst_branch_message - One branch with its revision.
+ * struct rst_settings_branch - One branch with its revision.
  * @key: Store key.
  * @revision: Store revision.
  * @value: JSON text; empty when deleted.
  */
-struct rst_branch_message
+struct rst_settings_branch
 {
   char *key;
   uint64_t revision;
@@ -236,7 +236,7 @@
 
 /**
  * struct rst_answer - How a query ended.
- * @outcome: A value of enum rst_outcome.
+ * @outcome: A value of enum rst_request_outcome.
  * @status: HTTP status for the caller.
  * @reason: A word naming the reason of a refusal.
  * @detail: A sentence about it.
@@ -353,12 +353,12 @@
 };
 
 /**
- * struct rst_adopted - What a new owner found on a yielded instance.
+ * struct rst_adopted_runs - What a new owner found on a yielded instance.
  * @instance: The instance.
  * @team: A team with work running there.
  * @count: How many it has running there.
  */
-struct rst_adopted
+struct rst_adopted_runs
 {
   char *instance;
   char *team;
@@ -366,22 +366,22 @@
 };
 
 /**
- * enum rst_record_state - What is known of a request id.
- * @RST_RECORD_NONE: Nothing.
- * @RST_RECORD_RUNNING: It runs.
- * @RST_RECORD_ENDED: It has ended.
+ * enum rst_request_record_state - What is known of a request id.
+ * @RST_REQUEST_RECORD_NONE: Nothing.
+ * @RST_REQUEST_RECORD_RUNNING: It runs.
+ * @RST_REQUEST_RECORD_ENDED: It has ended.
  */
-enum rst_record_state
+enum rst_request_record_state
 {
-  RST_RECORD_NONE,
-  RST_RECORD_RUNNING,
-  RST_RECORD_ENDED,
+  RST_REQUEST_RECORD_NONE,
+  RST_REQUEST_RECORD_RUNNING,
+  RST_REQUEST_RECORD_ENDED,
 };
 
 /**
- * struct rst_record_message - What is known of a request id.
+ * struct rst_request_record - What is known of a request id.
  * @key: Team and request id.
- * @state: A value of enum rst_record_state.
+ * @state: A value of enum rst_request_record_state.
  * @outcome: How it ended; this and the rest as in struct rst_answer.
  * @status: HTTP status.
  * @reason: A word naming the reason of a refusal.
@@ -390,7 +390,7 @@
  * @epoch: Epoch under which it was sent.
  * @body: The runner's answer.
  */
-struct rst_record_message
+struct rst_request_record
 {
   char *key;
   uint64_t state;
@@ -416,8 +416,8 @@
   {
     struct rst_hello hello;
     struct rst_promise promise;
-    struct rst_digest digest;
-    struct rst_branch_message branch;
+    struct rst_settings_digest digest;
+    struct rst_settings_branch branch;
     struct rst_load load;
     struct rst_query query;
     struct rst_answer answer;
@@ -425,8 +425,8 @@
     struct rst_job_reply job_reply;
     struct rst_task_start task_start;
     struct rst_task_event task_event;
-    struct rst_adopted adopted;
-    struct rst_record_message record;
+    struct rst_adopted_runs adopted;
+    struct rst_request_record record;
   };
 };
 
--- a/src/protocol/platform.c
+++ b/src/protocol/platform.c
@@ -29,7 +29,7 @@
     {
     case RST_TASK_RUNNING:
       return "running";
-    case RST_TASK_HELD:
+    case RST_TASK_RESERVED:
       return "held";
     case RST_TASK_DONE:
       return "done";
--- a/src/protocol/platform.h
+++ b/src/protocol/platform.h
@@ -58,11 +58,11 @@
 };
 
 /**
- * enum rst_kind - Kinds of instances.
+ * enum rst_instance_kind - Kinds of instances.
  * @RST_RUNNER: Runs queries in slots.
  * @RST_WORKER: Runs tasks with processors, memory and accelerators.
  */
-enum rst_kind
+enum rst_instance_kind
 {
   RST_RUNNER,
   RST_WORKER,
@@ -87,7 +87,7 @@
   char zone[RST_NAME_SIZE];
   char rack[RST_NAME_SIZE];
   char address[RST_ADDRESS_SIZE];
-  enum rst_kind kind;
+  enum rst_instance_kind kind;
   bool leaving;
   int64_t slots;
   int64_t cpu;
@@ -98,33 +98,33 @@
 /**
  * enum rst_task_result - What became of a task.
  * @RST_TASK_RUNNING: It runs.
- * @RST_TASK_HELD: Its place is held.
+ * @RST_TASK_RESERVED: Its place is held.
  * @RST_TASK_DONE: It ended well.
  * @RST_TASK_FAILED: It ended with a failure.
  * @RST_TASK_STOPPED: It was stopped on request.
  * @RST_TASK_MOVED: It was checkpointed and stopped, to go on elsewhere.
  * @RST_TASK_LOST: Its instance no longer runs it and knows no result.
  * @RST_TASK_NOT_RUN: It was not started.
- * @RST_TASK_UNSURE: It may have been started.
+ * @RST_TASK_IN_DOUBT: It may have been started.
  */
 enum rst_task_result
 {
   RST_TASK_RUNNING,
-  RST_TASK_HELD,
+  RST_TASK_RESERVED,
   RST_TASK_DONE,
   RST_TASK_FAILED,
   RST_TASK_STOPPED,
   RST_TASK_MOVED,
   RST_TASK_LOST,
   RST_TASK_NOT_RUN,
-  RST_TASK_UNSURE,
+  RST_TASK_IN_DOUBT,
 };
 
 /** rst_task_result_name() - Name of a result. */
 const char *rst_task_result_name (uint64_t result);
 
 /**
- * struct rst_work - A query or a task as an instance runs it.
+ * struct rst_run_info - A query or a task as an instance runs it.
  * @id: Id under which it was started.
  * @team: Its team.
  * @job: Its job, or "" for a query.
@@ -138,7 +138,7 @@
  * @run_ms: Declared run time; 0 for a service.
  * @result: A value of enum rst_task_result.
  */
-struct rst_work
+struct rst_run_info
 {
   char id[2 * RST_NAME_SIZE];
   char team[RST_NAME_SIZE];
@@ -164,8 +164,8 @@
  * @kv_count: Their number.
  * @instances: Instances listed.
  * @instance_count: Their number.
- * @work: Work that an instance reports.
- * @work_count: Their number.
+ * @runs: Work that an instance reports.
+ * @run_count: Their number.
  * @body: A runner's answer.
  * @length: Its length in bytes.
  */
@@ -179,8 +179,8 @@
   int kv_count;
   struct rst_instance_info *instances;
   int instance_count;
-  struct rst_work *work;
-  int work_count;
+  struct rst_run_info *runs;
+  int run_count;
   const char *body;
   size_t length;
 };
@@ -190,7 +190,7 @@
                                    void *userdata);
 
 /**
- * struct rst_run - A query to be run.
+ * struct rst_query_request - A query to be run.
  * @id: The request's id.
  * @team: Its team.
  * @epoch: Epoch of the owner.
@@ -200,7 +200,7 @@
  * @body: The body.
  * @length: Its length in bytes.
  */
-struct rst_run
+struct rst_query_request
 {
   const char *id;
   const char *team;
@@ -221,12 +221,13 @@
  * @store_delete: Deletes a key if it has the expected revision.
  * @store_watch: Waits for changes of keys with a prefix after a revision.
  * @lease_grant: Obtains a lease; its id comes as the reply's revision.
- * @lease_keep: Renews a lease.
- * @lease_drop: Gives a lease up.
- * @list_fetch: Lists all instances if the list has changed since a revision;
- *   otherwise the reply has that revision and no instances.
- * @runner_run: Runs a query on a runner.
- * @inspect: Tells an instance the epoch of its owner and lists its work.
+ * @lease_renew: Renews a lease.
+ * @lease_revoke: Gives a lease up.
+ * @instance_list_fetch: Lists all instances if the list has changed since a
+ * revision; otherwise the reply has that revision and no instances.
+ * @query_run: Runs a query on a runner.
+ * @instance_inspect: Tells an instance the epoch of its owner and lists its
+ * work.
  * @task_start: Starts a task on a worker under a lease.
  * @task_renew: Renews a worker's task leases and lists its work; ends that
  *   are named as seen are forgotten by the worker.
@@ -249,19 +250,20 @@
                        rst_ms wait_ms, rst_platform_done done, void *data);
   void (*lease_grant) (void *userdata, rst_ms ttl_ms, rst_platform_done done,
                        void *data);
-  void (*lease_keep) (void *userdata, uint64_t lease, rst_platform_done done,
-                      void *data);
-  void (*lease_drop) (void *userdata, uint64_t lease, rst_platform_done done,
-                      void *data);
-  void (*list_fetch) (void *userdata, uint64_t after, rst_platform_done done,
-                      void *data);
-  void (*runner_run) (void *userdata, const char *address,
-                      const struct rst_run *run, rst_platform_done done,
-                      void *data);
-  void (*inspect) (void *userdata, const char *address, uint64_t epoch,
-                   rst_platform_done done, void *data);
+  void (*lease_renew) (void *userdata, uint64_t lease, rst_platform_done done,
+                       void *data);
+  void (*lease_revoke) (void *userdata, uint64_t lease, rst_platform_done done,
+                        void *data);
+  void (*instance_list_fetch) (void *userdata, uint64_t after,
+                               rst_platform_done done, void *data);
+  void (*query_run) (void *userdata, const char *address,
+                     const struct rst_query_request *run,
+                     rst_platform_done done, void *data);
+  void (*instance_inspect) (void *userdata, const char *address,
+                            uint64_t epoch, rst_platform_done done,
+                            void *data);
   void (*task_start) (void *userdata, const char *address, uint64_t epoch,
-                      const struct rst_work *task, rst_ms lease_ms,
+                      const struct rst_run_info *task, rst_ms lease_ms,
                       rst_ms not_after, rst_platform_done done, void *data);
   void (*task_renew) (void *userdata, const char *address, uint64_t epoch,
                       rst_ms lease_ms, const char *const *seen,
--- a/src/protocol/platform_http.c
+++ b/src/protocol/platform_http.c
@@ -10,12 +10,12 @@
 #include "transport/transport.h"
 
 /** Bounds on open connections. */
-#define STORE_CONNECTIONS 8
-#define INSTANCE_CONNECTIONS 512
-#define RUNNER_CONNECTIONS 60
+#define STORE_CONNECTIONS_MAX 8
+#define INSTANCE_CONNECTIONS_MAX 512
+#define CONNECTIONS_PER_INSTANCE_MAX 60
 
 /** Longest URL. */
-#define URL_SIZE 512
+#define URL_SIZE_BYTES 512
 
 /** Most headers of a call. */
 #define HEADERS_MAX 10
@@ -27,15 +27,15 @@
   BODY_KV,
   BODY_KVS,
   BODY_INSTANCES,
-  BODY_WORK,
+  BODY_RUNS,
   BODY_RAW,
 };
 
-struct rst_platform_event
+struct rst_platform_request
 {
   struct rst_platform_http *platform;
   enum body_kind kind;
-  bool store;
+  bool is_store_call;
   rst_platform_done done;
   void *data;
   struct rst_platform_reply reply;
@@ -55,19 +55,19 @@
 static void
 read_kv (struct json_object *item, struct rst_kv *out)
 {
-  const char *key = rst_json_text (item, "key");
-  const char *value = rst_json_text (item, "value");
+  const char *key = rst_json_get_text (item, "key");
+  const char *value = rst_json_get_text (item, "value");
 
   out->key = g_strdup (key != NULL ? key : "");
   out->value = g_strdup (value != NULL ? value : "");
-  out->revision = (uint64_t)rst_json_number (item, "revision", 0);
-  out->deleted = rst_json_bool (item, "deleted", false);
+  out->revision = (uint64_t)rst_json_get_number (item, "revision", 0);
+  out->deleted = rst_json_get_bool (item, "deleted", false);
 }
 
 static void
 read_kvs (struct json_object *root, struct rst_platform_reply *reply)
 {
-  struct json_object *list = rst_json_array (root, "items");
+  struct json_object *list = rst_json_get_array (root, "items");
   size_t count = list != NULL ? json_object_array_length (list) : 0;
 
   reply->kvs = g_new0 (struct rst_kv, count + 1);
@@ -77,7 +77,8 @@
 }
 
 static void
-copy_text (struct json_object *item, const char *key, char *out, size_t size)
+copy_text_or_empty (struct json_object *item, const char *key, char *out,
+                    size_t size)
 {
   if (!rst_json_copy_text (item, key, out, size))
     out[0] = '\0';
@@ -86,25 +87,25 @@
 static void
 read_instance (struct json_object *item, struct rst_instance_info *out)
 {
-  const char *kind = rst_json_text (item, "kind");
-  const char *state = rst_json_text (item, "state");
+  const char *kind = rst_json_get_text (item, "kind");
+  const char *state = rst_json_get_text (item, "state");
 
-  copy_text (item, "name", out->name, RST_NAME_SIZE);
-  copy_text (item, "availability_zone", out->zone, RST_NAME_SIZE);
-  copy_text (item, "rack", out->rack, RST_NAME_SIZE);
-  copy_text (item, "address", out->address, RST_ADDRESS_SIZE);
+  copy_text_or_empty (item, "name", out->name, RST_NAME_SIZE);
+  copy_text_or_empty (item, "availability_zone", out->zone, RST_NAME_SIZE);
+  copy_text_or_empty (item, "rack", out->rack, RST_NAME_SIZE);
+  copy_text_or_empty (item, "address", out->address, RST_ADDRESS_SIZE);
   out->kind = g_strcmp0 (kind, "worker") == 0 ? RST_WORKER : RST_RUNNER;
   out->leaving = g_strcmp0 (state, "leaving") == 0;
-  out->slots = rst_json_number (item, "slots", 0);
-  out->cpu = rst_json_number (item, "cpu_milli", 0);
-  out->memory_mb = rst_json_number (item, "memory_mb", 0);
-  out->accelerators = rst_json_number (item, "accelerators", 0);
+  out->slots = rst_json_get_number (item, "slots", 0);
+  out->cpu = rst_json_get_number (item, "cpu_milli", 0);
+  out->memory_mb = rst_json_get_number (item, "memory_mb", 0);
+  out->accelerators = rst_json_get_number (item, "accelerators", 0);
 }
 
 static void
 read_instances (struct json_object *root, struct rst_platform_reply *reply)
 {
-  struct json_object *list = rst_json_array (root, "instances");
+  struct json_object *list = rst_json_get_array (root, "instances");
   size_t count = list != NULL ? json_object_array_length (list) : 0;
 
   reply->instances = g_new0 (struct rst_instance_info, count + 1);
@@ -121,53 +122,53 @@
 }
 
 static int64_t
-read_result (struct json_object *item)
+read_task_result (struct json_object *item)
 {
-  const char *name = rst_json_text (item, "state");
+  const char *name = rst_json_get_text (item, "state");
 
-  for (int64_t i = RST_TASK_RUNNING; i <= RST_TASK_UNSURE; i++)
+  for (int64_t i = RST_TASK_RUNNING; i <= RST_TASK_IN_DOUBT; i++)
     if (g_strcmp0 (name, rst_task_result_name ((uint64_t)i)) == 0)
       return i;
   return RST_TASK_LOST;
 }
 
 static void
-read_one_work (struct json_object *item, struct rst_work *out)
-{
-  copy_text (item, "id", out->id, sizeof out->id);
-  copy_text (item, "team", out->team, RST_NAME_SIZE);
-  copy_text (item, "job", out->job, RST_NAME_SIZE);
-  copy_text (item, "owner", out->owner, RST_NAME_SIZE);
-  out->index = rst_json_number (item, "index", 0);
-  out->attempt = rst_json_number (item, "attempt", 0);
-  out->policy = rst_json_number (item, "policy", 0);
-  out->cpu = rst_json_number (item, "cpu_milli", 0);
-  out->memory_mb = rst_json_number (item, "memory_mb", 0);
-  out->accelerators = rst_json_number (item, "accelerators", 0);
-  out->run_ms = rst_json_number (item, "run_ms", 0);
-  out->result = read_result (item);
+read_run (struct json_object *item, struct rst_run_info *out)
+{
+  copy_text_or_empty (item, "id", out->id, sizeof out->id);
+  copy_text_or_empty (item, "team", out->team, RST_NAME_SIZE);
+  copy_text_or_empty (item, "job", out->job, RST_NAME_SIZE);
+  copy_text_or_empty (item, "owner", out->owner, RST_NAME_SIZE);
+  out->index = rst_json_get_number (item, "index", 0);
+  out->attempt = rst_json_get_number (item, "attempt", 0);
+  out->policy = rst_json_get_number (item, "policy", 0);
+  out->cpu = rst_json_get_number (item, "cpu_milli", 0);
+  out->memory_mb = rst_json_get_number (item, "memory_mb", 0);
+  out->accelerators = rst_json_get_number (item, "accelerators", 0);
+  out->run_ms = rst_json_get_number (item, "run_ms", 0);
+  out->result = read_task_result (item);
 }
 
 static void
-read_work (struct json_object *root, struct rst_platform_reply *reply)
+read_runs (struct json_object *root, struct rst_platform_reply *reply)
 {
-  struct json_object *list = rst_json_array (root, "work");
+  struct json_object *list = rst_json_get_array (root, "work");
   size_t count = list != NULL ? json_object_array_length (list) : 0;
 
-  reply->work = g_new0 (struct rst_work, count + 1);
-  reply->work_count = (int)count;
+  reply->runs = g_new0 (struct rst_run_info, count + 1);
+  reply->run_count = (int)count;
   for (size_t i = 0; i < count; i++)
-    read_one_work (json_object_array_get_idx (list, i), &reply->work[i]);
+    read_run (json_object_array_get_idx (list, i), &reply->runs[i]);
 }
 
 static void
-read_json (struct rst_platform_event *event, const char *text)
+read_json (struct rst_platform_request *request, const char *text)
 {
-  struct rst_platform_reply *reply = &event->reply;
+  struct rst_platform_reply *reply = &request->reply;
   struct json_object *root = rst_json_parse (text);
 
-  reply->revision = (uint64_t)rst_json_number (root, "revision", 0);
-  switch (event->kind)
+  reply->revision = (uint64_t)rst_json_get_number (root, "revision", 0);
+  switch (request->kind)
     {
     case BODY_KV:
       reply->kvs = g_new0 (struct rst_kv, 1);
@@ -180,8 +181,8 @@
     case BODY_INSTANCES:
       read_instances (root, reply);
       break;
-    case BODY_WORK:
-      read_work (root, reply);
+    case BODY_RUNS:
+      read_runs (root, reply);
       break;
     default:
       break;
@@ -191,7 +192,7 @@
 
 /* A store that refuses may still have done what was asked. */
 static int
-store_result (int status)
+map_store_status (int status)
 {
   if (status == 200)
     return RST_PLATFORM_OK;
@@ -203,7 +204,7 @@
 }
 
 static int
-instance_result (int status)
+map_instance_status (int status)
 {
   if (status == 200)
     return RST_PLATFORM_OK;
@@ -217,10 +218,10 @@
 }
 
 static void
-on_result (const struct rst_http_result *result, void *userdata)
+on_http_result (const struct rst_http_result *result, void *userdata)
 {
-  struct rst_platform_event *event = userdata;
-  struct rst_platform_reply *reply = &event->reply;
+  struct rst_platform_request *request = userdata;
+  struct rst_platform_reply *reply = &request->reply;
 
   reply->status = result->status;
   reply->sent_at = result->sent_at;
@@ -229,72 +230,76 @@
   else if (result->error != RST_TRANSPORT_OK)
     reply->result = RST_PLATFORM_UNKNOWN;
   else
-    reply->result = event->store ? store_result (result->status)
-                                 : instance_result (result->status);
-  if (reply->result == RST_PLATFORM_OK && event->kind == BODY_RAW)
+    reply->result = request->is_store_call
+                        ? map_store_status (result->status)
+                        : map_instance_status (result->status);
+  if (reply->result == RST_PLATFORM_OK && request->kind == BODY_RAW)
     {
-      event->body = g_memdup2 (result->body, result->length + 1);
-      reply->body = event->body;
+      request->body = g_memdup2 (result->body, result->length + 1);
+      reply->body = request->body;
       reply->length = result->length;
     }
   else if (reply->result == RST_PLATFORM_OK)
-    read_json (event, result->body);
-  event->platform->config.deliver (event, event->platform->config.userdata);
+    read_json (request, result->body);
+  request->platform->config.deliver (request,
+                                     request->platform->config.userdata);
 }
 
 void
-rst_platform_event_run (struct rst_platform_event *event)
+rst_platform_request_complete (struct rst_platform_request *request)
 {
-  event->done (&event->reply, event->data);
-  for (int i = 0; i < event->reply.kv_count; i++)
+  request->done (&request->reply, request->data);
+  for (int i = 0; i < request->reply.kv_count; i++)
     {
-      g_free (event->reply.kvs[i].key);
-      g_free (event->reply.kvs[i].value);
+      g_free (request->reply.kvs[i].key);
+      g_free (request->reply.kvs[i].value);
     }
-  g_free (event->reply.kvs);
-  g_free (event->reply.instances);
-  g_free (event->reply.work);
-  g_free (event->body);
-  g_free (event);
+  g_free (request->reply.kvs);
+  g_free (request->reply.instances);
+  g_free (request->reply.runs);
+  g_free (request->body);
+  g_free (request);
 }
 
 /* ---- Calls
  * ---------------------------------------------------------------------- */
 
-static struct rst_platform_event *
-event_create (struct rst_platform_http *platform, enum body_kind kind,
-              bool store, rst_platform_done done, void *data)
+static struct rst_platform_request *
+request_create (struct rst_platform_http *platform, enum body_kind kind,
+                bool is_store_call, rst_platform_done done, void *data)
 {
-  struct rst_platform_event *event = g_new0 (struct rst_platform_event, 1);
+  struct rst_platform_request *request
+      = g_new0 (struct rst_platform_request, 1);
 
-  event->platform = platform;
-  event->kind = kind;
-  event->store = store;
-  event->done = done;
-  event->data = data;
-  return event;
+  request->platform = platform;
+  request->kind = kind;
+  request->is_store_call = is_store_call;
+  request->done = done;
+  request->data = data;
+  return request;
 }
 
 static void
 send_call (struct rst_http_client *client, struct rst_http_call *call,
-           struct rst_platform_event *event)
+           struct rst_platform_request *request)
 {
-  call->done = on_result;
-  call->userdata = event;
+  call->done = on_http_result;
+  call->userdata = request;
   if (client != NULL
       && rst_http_client_send (client, call) == RST_TRANSPORT_OK)
     return;
-  event->reply.result = RST_PLATFORM_NOT_SENT;
-  event->platform->config.deliver (event, event->platform->config.userdata);
+  request->reply.result = RST_PLATFORM_NOT_SENT;
+  request->platform->config.deliver (request,
+                                     request->platform->config.userdata);
 }
 
 static void
-store_call (struct rst_platform_http *platform, const char *method,
-            const char *path, const char *body, rst_ms extra_ms,
-            struct rst_platform_event *event)
+send_store_call (struct rst_platform_http *platform, const char *method,
+                 const char *path, const char *body, rst_ms extra_ms,
+                 struct rst_platform_request *request)
 {
   struct rst_http_call call = { 0 };
-  char url[URL_SIZE];
+  char url[URL_SIZE_BYTES];
 
   g_snprintf (url, sizeof url, "http://%s%s", platform->config.store_address,
               path);
@@ -303,18 +308,18 @@
   call.body = body;
   call.length = body != NULL ? strlen (body) : 0;
   call.timeout_ms = platform->config.store_timeout_ms + extra_ms;
-  send_call (platform->store_client, &call, event);
+  send_call (platform->store_client, &call, request);
 }
 
 static void
 store_get (void *userdata, const char *key, rst_platform_done done, void *data)
 {
   struct rst_platform_http *platform = userdata;
-  char path[URL_SIZE];
+  char path[URL_SIZE_BYTES];
 
   g_snprintf (path, sizeof path, "/v1/kv?key=%s", key);
-  store_call (platform, "GET", path, NULL, 0,
-              event_create (platform, BODY_KV, true, done, data));
+  send_store_call (platform, "GET", path, NULL, 0,
+                   request_create (platform, BODY_KV, true, done, data));
 }
 
 static void
@@ -322,11 +327,11 @@
             void *data)
 {
   struct rst_platform_http *platform = userdata;
-  char path[URL_SIZE];
+  char path[URL_SIZE_BYTES];
 
   g_snprintf (path, sizeof path, "/v1/kv?prefix=%s", prefix);
-  store_call (platform, "GET", path, NULL, 0,
-              event_create (platform, BODY_KVS, true, done, data));
+  send_store_call (platform, "GET", path, NULL, 0,
+                   request_create (platform, BODY_KVS, true, done, data));
 }
 
 static void
@@ -335,14 +340,14 @@
            void *data)
 {
   struct rst_platform_http *platform = userdata;
-  char path[URL_SIZE];
+  char path[URL_SIZE_BYTES];
 
   g_snprintf (path, sizeof path,
               "/v1/kv?key=%s&expect=%" G_GINT64_FORMAT
               "&lease=%" G_GUINT64_FORMAT,
               key, expected, lease);
-  store_call (platform, "PUT", path, value, 0,
-              event_create (platform, BODY_NONE, true, done, data));
+  send_store_call (platform, "PUT", path, value, 0,
+                   request_create (platform, BODY_NONE, true, done, data));
 }
 
 static void
@@ -350,12 +355,12 @@
               rst_platform_done done, void *data)
 {
   struct rst_platform_http *platform = userdata;
-  char path[URL_SIZE];
+  char path[URL_SIZE_BYTES];
 
   g_snprintf (path, sizeof path, "/v1/kv?key=%s&expect=%" G_GINT64_FORMAT, key,
               expected);
-  store_call (platform, "DELETE", path, NULL, 0,
-              event_create (platform, BODY_NONE, true, done, data));
+  send_store_call (platform, "DELETE", path, NULL, 0,
+                   request_create (platform, BODY_NONE, true, done, data));
 }
 
 static void
@@ -363,55 +368,58 @@
              rst_ms wait_ms, rst_platform_done done, void *data)
 {
   struct rst_platform_http *platform = userdata;
-  char path[URL_SIZE];
+  char path[URL_SIZE_BYTES];
 
   g_snprintf (path, sizeof path,
               "/v1/watch?prefix=%s&after=%" G_GUINT64_FORMAT
               "&wait_ms=%" G_GINT64_FORMAT,
               prefix, after, wait_ms);
-  store_call (platform, "GET", path, NULL, wait_ms,
-              event_create (platform, BODY_KVS, true, done, data));
+  send_store_call (platform, "GET", path, NULL, wait_ms,
+                   request_create (platform, BODY_KVS, true, done, data));
 }
 
 static void
 lease_grant (void *userdata, rst_ms ttl_ms, rst_platform_done done, void *data)
 {
   struct rst_platform_http *platform = userdata;
-  char path[URL_SIZE];
+  char path[URL_SIZE_BYTES];
 
   g_snprintf (path, sizeof path, "/v1/lease?ttl_ms=%" G_GINT64_FORMAT, ttl_ms);
-  store_call (platform, "POST", path, "", 0,
-              event_create (platform, BODY_NONE, true, done, data));
+  send_store_call (platform, "POST", path, "", 0,
+                   request_create (platform, BODY_NONE, true, done, data));
 }
 
 static void
-lease_keep (void *userdata, uint64_t lease, rst_platform_done done, void *data)
+lease_renew (void *userdata, uint64_t lease, rst_platform_done done,
+             void *data)
 {
   struct rst_platform_http *platform = userdata;
-  char path[URL_SIZE];
+  char path[URL_SIZE_BYTES];
 
   g_snprintf (path, sizeof path, "/v1/lease?id=%" G_GUINT64_FORMAT, lease);
-  store_call (platform, "PUT", path, "", 0,
-              event_create (platform, BODY_NONE, true, done, data));
+  send_store_call (platform, "PUT", path, "", 0,
+                   request_create (platform, BODY_NONE, true, done, data));
 }
 
 static void
-lease_drop (void *userdata, uint64_t lease, rst_platform_done done, void *data)
+lease_revoke (void *userdata, uint64_t lease, rst_platform_done done,
+              void *data)
 {
   struct rst_platform_http *platform = userdata;
-  char path[URL_SIZE];
+  char path[URL_SIZE_BYTES];
 
   g_snprintf (path, sizeof path, "/v1/lease?id=%" G_GUINT64_FORMAT, lease);
-  store_call (platform, "DELETE", path, NULL, 0,
-              event_create (platform, BODY_NONE, true, done, data));
+  send_store_call (platform, "DELETE", path, NULL, 0,
+                   request_create (platform, BODY_NONE, true, done, data));
 }
 
 static void
-list_fetch (void *userdata, uint64_t after, rst_platform_done done, void *data)
+instance_list_fetch (void *userdata, uint64_t after, rst_platform_done done,
+                     void *data)
 {
   struct rst_platform_http *platform = userdata;
   struct rst_http_call call = { 0 };
-  char url[URL_SIZE];
+  char url[URL_SIZE_BYTES];
 
   g_snprintf (url, sizeof url,
               "http://%s/v1/instances?after=%" G_GUINT64_FORMAT,
@@ -420,16 +428,17 @@
   call.url = url;
   call.timeout_ms = platform->config.store_timeout_ms;
   send_call (platform->store_client, &call,
-             event_create (platform, BODY_INSTANCES, false, done, data));
+             request_create (platform, BODY_INSTANCES, false, done, data));
 }
 
 static void
-runner_run (void *userdata, const char *address, const struct rst_run *run,
-            rst_platform_done done, void *data)
+query_run (void *userdata, const char *address,
+           const struct rst_query_request *run, rst_platform_done done,
+           void *data)
 {
   struct rst_platform_http *platform = userdata;
   struct rst_http_call call = { 0 };
-  char url[URL_SIZE];
+  char url[URL_SIZE_BYTES];
   char headers[5][2 * RST_NAME_SIZE + 32];
   const char *list[HEADERS_MAX] = { 0 };
 
@@ -451,19 +460,19 @@
   call.length = run->length;
   call.timeout_ms = run->deadline_ms;
   call.not_after = run->not_after;
-  call.fresh = !run->idempotent;
+  call.new_connection = !run->idempotent;
   send_call (platform->instance_client, &call,
-             event_create (platform, BODY_RAW, false, done, data));
+             request_create (platform, BODY_RAW, false, done, data));
 }
 
 static void
-instance_call (struct rst_platform_http *platform, const char *address,
-               const char *path, struct json_object *body, rst_ms not_after,
-               struct rst_platform_event *event)
+send_instance_call (struct rst_platform_http *platform, const char *address,
+                    const char *path, struct json_object *body,
+                    rst_ms not_after, struct rst_platform_request *request)
 {
   struct rst_http_call call = { 0 };
-  char url[URL_SIZE];
-  char *text = rst_json_release (body);
+  char url[URL_SIZE_BYTES];
+  char *text = rst_json_format_and_release (body);
 
   g_snprintf (url, sizeof url, "http://%s%s", address, path);
   call.method = "POST";
@@ -472,12 +481,12 @@
   call.length = strlen (text);
   call.timeout_ms = platform->config.instance_timeout_ms;
   call.not_after = not_after;
-  send_call (platform->instance_client, &call, event);
+  send_call (platform->instance_client, &call, request);
   free (text);
 }
 
 static struct json_object *
-command_create (uint64_t epoch)
+create_command_body (uint64_t epoch)
 {
   struct json_object *body = json_object_new_object ();
 
@@ -486,22 +495,23 @@
 }
 
 static void
-inspect (void *userdata, const char *address, uint64_t epoch,
-         rst_platform_done done, void *data)
+instance_inspect (void *userdata, const char *address, uint64_t epoch,
+                  rst_platform_done done, void *data)
 {
   struct rst_platform_http *platform = userdata;
 
-  instance_call (platform, address, "/v1/inspect", command_create (epoch), 0,
-                 event_create (platform, BODY_WORK, false, done, data));
+  send_instance_call (platform, address, "/v1/inspect",
+                      create_command_body (epoch), 0,
+                      request_create (platform, BODY_RUNS, false, done, data));
 }
 
 static void
 task_start (void *userdata, const char *address, uint64_t epoch,
-            const struct rst_work *task, rst_ms lease_ms, rst_ms not_after,
+            const struct rst_run_info *task, rst_ms lease_ms, rst_ms not_after,
             rst_platform_done done, void *data)
 {
   struct rst_platform_http *platform = userdata;
-  struct json_object *body = command_create (epoch);
+  struct json_object *body = create_command_body (epoch);
 
   rst_json_set_number (body, "lease_ms", lease_ms);
   rst_json_set_text (body, "id", task->id);
@@ -515,8 +525,8 @@
   rst_json_set_number (body, "memory_mb", task->memory_mb);
   rst_json_set_number (body, "accelerators", task->accelerators);
   rst_json_set_number (body, "run_ms", task->run_ms);
-  instance_call (platform, address, "/v1/tasks", body, not_after,
-                 event_create (platform, BODY_NONE, false, done, data));
+  send_instance_call (platform, address, "/v1/tasks", body, not_after,
+                      request_create (platform, BODY_NONE, false, done, data));
 }
 
 static void
@@ -525,15 +535,15 @@
             void *data)
 {
   struct rst_platform_http *platform = userdata;
-  struct json_object *body = command_create (epoch);
+  struct json_object *body = create_command_body (epoch);
   struct json_object *list = json_object_new_array ();
 
   for (int i = 0; seen[i] != NULL; i++)
     json_object_array_add (list, json_object_new_string (seen[i]));
   rst_json_set_number (body, "lease_ms", lease_ms);
   json_object_object_add (body, "seen", list);
-  instance_call (platform, address, "/v1/renew", body, 0,
-                 event_create (platform, BODY_WORK, false, done, data));
+  send_instance_call (platform, address, "/v1/renew", body, 0,
+                      request_create (platform, BODY_RUNS, false, done, data));
 }
 
 static void
@@ -541,35 +551,35 @@
            bool checkpoint, rst_platform_done done, void *data)
 {
   struct rst_platform_http *platform = userdata;
-  struct json_object *body = command_create (epoch);
+  struct json_object *body = create_command_body (epoch);
 
   rst_json_set_text (body, "id", id);
   rst_json_set_bool (body, "checkpoint", checkpoint);
-  instance_call (platform, address, "/v1/stop", body, 0,
-                 event_create (platform, BODY_WORK, false, done, data));
+  send_instance_call (platform, address, "/v1/stop", body, 0,
+                      request_create (platform, BODY_RUNS, false, done, data));
 }
 
-static const struct rst_platform table = {
+static const struct rst_platform platform_table = {
   .store_get = store_get,
   .store_list = store_list,
   .store_put = store_put,
   .store_delete = store_delete,
   .store_watch = store_watch,
   .lease_grant = lease_grant,
-  .lease_keep = lease_keep,
-  .lease_drop = lease_drop,
-  .list_fetch = list_fetch,
-  .runner_run = runner_run,
-  .inspect = inspect,
+  .lease_renew = lease_renew,
+  .lease_revoke = lease_revoke,
+  .instance_list_fetch = instance_list_fetch,
+  .query_run = query_run,
+  .instance_inspect = instance_inspect,
   .task_start = task_start,
   .task_renew = task_renew,
   .task_stop = task_stop,
 };
 
 const struct rst_platform *
-rst_platform_http_table (void)
+rst_platform_http_get_table (void)
 {
-  return &table;
+  return &platform_table;
 }
 
 struct rst_platform_http *
@@ -578,9 +588,9 @@
   struct rst_platform_http *platform = g_new0 (struct rst_platform_http, 1);
 
   platform->config = *config;
-  platform->store_client = rst_http_client_create (STORE_CONNECTIONS, 0);
-  platform->instance_client
-      = rst_http_client_create (INSTANCE_CONNECTIONS, RUNNER_CONNECTIONS);
+  platform->store_client = rst_http_client_create (STORE_CONNECTIONS_MAX, 0);
+  platform->instance_client = rst_http_client_create (
+      INSTANCE_CONNECTIONS_MAX, CONNECTIONS_PER_INSTANCE_MAX);
   if (platform->store_client == NULL || platform->instance_client == NULL)
     {
       rst_platform_http_close (platform);
--- a/src/protocol/platform_http.h
+++ b/src/protocol/platform_http.h
@@ -7,7 +7,7 @@
 #include "protocol/platform.h"
 
 struct rst_platform_http;
-struct rst_platform_event;
+struct rst_platform_request;
 
 /**
  * struct rst_platform_http_config - How the outside systems are reached.
@@ -16,7 +16,7 @@
  * @store_timeout_ms: Bound on a store call, without a watch's wait.
  * @instance_timeout_ms: Bound on a call to a worker.
  * @deliver: Receives the end of each call on a thread of the client, and sees
- *   to rst_platform_event_run() on the thread that made the call.
+ *   to rst_platform_request_complete() on the thread that made the call.
  * @userdata: Passed to @deliver.
  */
 struct rst_platform_http_config
@@ -25,7 +25,7 @@
   char list_address[RST_ADDRESS_SIZE];
   rst_ms store_timeout_ms;
   rst_ms instance_timeout_ms;
-  void (*deliver) (struct rst_platform_event *event, void *userdata);
+  void (*deliver) (struct rst_platform_request *request, void *userdata);
   void *userdata;
 };
 
@@ -33,7 +33,7 @@
  * rst_platform_http_create() - Starts the clients.
  * @config: How the outside systems are reached, copied.
  *
- * Return: The object to pass to rst_platform_http_table()'s functions, or
+ * Return: The object to pass to rst_platform_http_get_table()'s functions, or
  * NULL when resources are short.
  */
 struct rst_platform_http *
@@ -54,13 +54,13 @@
  */
 void rst_platform_http_destroy (struct rst_platform_http *platform);
 
-/** rst_platform_http_table() - The table of callbacks. */
-const struct rst_platform *rst_platform_http_table (void);
+/** rst_platform_http_get_table() - The table of callbacks. */
+const struct rst_platform *rst_platform_http_get_table (void);
 
 /**
- * rst_platform_event_run() - Tells the caller of the end of its call.
- * @event: The event; it is freed.
+ * rst_platform_request_complete() - Tells the caller of the end of its call.
+ * @request: The event; it is freed.
  */
-void rst_platform_event_run (struct rst_platform_event *event);
+void rst_platform_request_complete (struct rst_platform_request *request);
 
 #endif
--- a/src/state/job.c
+++ b/src/state/job.c
@@ -7,7 +7,7 @@
 #include "util/conf.h"
 
 /** Bounds on what one task may ask for. */
-#define CPU_MAX 1000000
+#define CPU_MAX_MILLI 1000000
 #define MEMORY_MAX_MB (64 * 1024 * 1024)
 #define ACCELERATORS_MAX 1024
 #define RUN_MAX_MS ((int64_t)1000 * 60 * 60 * 24 * 30)
@@ -20,8 +20,8 @@
   struct rst_job_spec spec;
 };
 
-static const char *const policies[] = { "batch", "service", "gang", NULL };
-static const char *const urgencies[] = { "normal", "urgent", NULL };
+static const char *const policy_names[] = { "batch", "service", "gang", NULL };
+static const char *const urgency_names[] = { "normal", "urgent", NULL };
 
 #define SPEC_INT(name, required, member, min, max)                            \
   {                                                                           \
@@ -30,13 +30,13 @@
   }
 
 static const struct rst_conf_field spec_fields[] = {
-  RST_CONF_TEXT ("id", RST_CONF_NAME, false, struct spec_fields, id),
+  RST_CONF_STRING_FIELD ("id", RST_CONF_NAME, false, struct spec_fields, id),
   { "policy", RST_CONF_CHOICE, true, offsetof (struct spec_fields, policy), 16,
-    0, 0, policies },
+    0, 0, policy_names },
   { "urgency", RST_CONF_CHOICE, false, offsetof (struct spec_fields, urgency),
-    16, 0, 0, urgencies },
+    16, 0, 0, urgency_names },
   SPEC_INT ("tasks", true, tasks, 1, RST_JOB_TASKS_MAX),
-  SPEC_INT ("cpu_milli", true, cpu, 1, CPU_MAX),
+  SPEC_INT ("cpu_milli", true, cpu, 1, CPU_MAX_MILLI),
   SPEC_INT ("memory_mb", true, memory_mb, 1, MEMORY_MAX_MB),
   SPEC_INT ("accelerators", false, accelerators, 0, ACCELERATORS_MAX),
   SPEC_INT ("run_ms", false, run_ms, 0, RUN_MAX_MS),
@@ -45,10 +45,10 @@
 };
 
 static int64_t
-policy_number (const char *name)
+parse_policy (const char *name)
 {
-  for (int64_t i = 0; policies[i] != NULL; i++)
-    if (strcmp (policies[i], name) == 0)
+  for (int64_t i = 0; policy_names[i] != NULL; i++)
+    if (strcmp (policy_names[i], name) == 0)
       return i;
   return 0;
 }
@@ -57,26 +57,26 @@
 check_spec (const struct spec_fields *fields, GString *problems)
 {
   bool service = strcmp (fields->policy, "service") == 0;
-  bool sound = true;
+  bool valid = true;
 
-  if (strlen (fields->id) > RST_JOB_ID_MAX)
+  if (strlen (fields->id) > RST_JOB_ID_MAX_BYTES)
     {
       g_string_append_printf (problems, "id: longer than %d bytes\n",
-                              RST_JOB_ID_MAX);
-      sound = false;
+                              RST_JOB_ID_MAX_BYTES);
+      valid = false;
     }
   if (!service && fields->spec.run_ms == 0)
     {
       g_string_append (problems, "run_ms: is missing\n");
-      sound = false;
+      valid = false;
     }
   if (service && (fields->spec.run_ms != 0 || fields->spec.run_once))
     {
       g_string_append (problems,
                        "run_ms: a service has no run time and runs on\n");
-      sound = false;
+      valid = false;
     }
-  return sound;
+  return valid;
 }
 
 int
@@ -85,19 +85,19 @@
 {
   struct spec_fields fields = { 0 };
   struct json_object *root = rst_conf_parse (text, problems);
-  bool sound;
+  bool valid;
 
   if (root == NULL)
     return RST_STATE_INVALID;
-  sound = rst_conf_read (root, spec_fields, G_N_ELEMENTS (spec_fields),
+  valid = rst_conf_read (root, spec_fields, G_N_ELEMENTS (spec_fields),
                          &fields, problems)
           && check_spec (&fields, problems);
   json_object_put (root);
   g_strlcpy (id, fields.id, RST_NAME_SIZE);
   *out = fields.spec;
-  out->policy = policy_number (fields.policy);
+  out->policy = parse_policy (fields.policy);
   out->urgent = strcmp (fields.urgency, "urgent") == 0;
-  return sound ? RST_STATE_OK : RST_STATE_INVALID;
+  return valid ? RST_STATE_OK : RST_STATE_INVALID;
 }
 
 bool
@@ -116,14 +116,14 @@
 
   if (!json_object_object_get_ex (root, "spec", &item))
     return false;
-  out->policy = rst_json_number (item, "policy", 0);
-  out->tasks = rst_json_number (item, "tasks", 0);
-  out->cpu = rst_json_number (item, "cpu_milli", 0);
-  out->memory_mb = rst_json_number (item, "memory_mb", 0);
-  out->accelerators = rst_json_number (item, "accelerators", 0);
-  out->run_ms = rst_json_number (item, "run_ms", 0);
-  out->run_once = rst_json_bool (item, "run_once", false);
-  out->urgent = rst_json_bool (item, "urgent", false);
+  out->policy = rst_json_get_number (item, "policy", 0);
+  out->tasks = rst_json_get_number (item, "tasks", 0);
+  out->cpu = rst_json_get_number (item, "cpu_milli", 0);
+  out->memory_mb = rst_json_get_number (item, "memory_mb", 0);
+  out->accelerators = rst_json_get_number (item, "accelerators", 0);
+  out->run_ms = rst_json_get_number (item, "run_ms", 0);
+  out->run_once = rst_json_get_bool (item, "run_once", false);
+  out->urgent = rst_json_get_bool (item, "urgent", false);
   return out->tasks >= 1 && out->tasks <= RST_JOB_TASKS_MAX;
 }
 
@@ -132,21 +132,21 @@
                       struct rst_job_record *out)
 {
   struct json_object *root = rst_json_parse (text);
-  const char *ended;
+  const char *task_outcomes;
   int error = RST_STATE_INVALID;
 
   memset (out, 0, sizeof *out);
-  ended = rst_json_text (root, "ended");
+  task_outcomes = rst_json_get_text (root, "ended");
   if (rst_json_copy_text (root, "name", out->name, RST_NAME_SIZE)
       && rst_json_copy_text (root, "owner", out->owner, RST_NAME_SIZE)
-      && read_spec (root, &out->spec) && ended != NULL
-      && (int64_t)strlen (ended) == out->spec.tasks)
+      && read_spec (root, &out->spec) && task_outcomes != NULL
+      && (int64_t)strlen (task_outcomes) == out->spec.tasks)
     {
-      out->generation = (uint64_t)rst_json_number (root, "generation", 0);
-      out->write_number = (uint64_t)rst_json_number (root, "write", 0);
-      out->cancelled = rst_json_bool (root, "cancelled", false);
-      out->intent = rst_json_number (root, "intent", 0);
-      out->ended = g_strdup (ended);
+      out->generation = (uint64_t)rst_json_get_number (root, "generation", 0);
+      out->write_number = (uint64_t)rst_json_get_number (root, "write", 0);
+      out->cancelled = rst_json_get_bool (root, "cancelled", false);
+      out->start_intent = rst_json_get_number (root, "intent", 0);
+      out->task_outcomes = g_strdup (task_outcomes);
       out->revision = revision;
       error = RST_STATE_OK;
     }
@@ -180,46 +180,46 @@
   rst_json_set_number (root, "generation", (int64_t)record->generation);
   rst_json_set_number (root, "write", (int64_t)record->write_number);
   rst_json_set_bool (root, "cancelled", record->cancelled);
-  rst_json_set_number (root, "intent", record->intent);
-  rst_json_set_text (root, "ended", record->ended);
+  rst_json_set_number (root, "intent", record->start_intent);
+  rst_json_set_text (root, "ended", record->task_outcomes);
   json_object_object_add (root, "spec", format_spec (&record->spec));
-  return rst_json_release (root);
+  return rst_json_format_and_release (root);
 }
 
 void
 rst_job_record_clear (struct rst_job_record *record)
 {
-  g_free (record->ended);
-  record->ended = NULL;
+  g_free (record->task_outcomes);
+  record->task_outcomes = NULL;
 }
 
 static int64_t
-count_letter (const struct rst_job_record *record, char letter)
+count_outcome (const struct rst_job_record *record, char outcome)
 {
   int64_t count = 0;
 
   for (int64_t i = 0; i < record->spec.tasks; i++)
-    if (record->ended[i] == letter)
+    if (record->task_outcomes[i] == outcome)
       count++;
   return count;
 }
 
 bool
-rst_job_record_finished (const struct rst_job_record *record)
+rst_job_record_is_finished (const struct rst_job_record *record)
 {
-  return strchr (record->ended, '.') == NULL;
+  return strchr (record->task_outcomes, '.') == NULL;
 }
 
 const char *
-rst_job_record_state (const struct rst_job_record *record)
+rst_job_record_get_state (const struct rst_job_record *record)
 {
-  if (!rst_job_record_finished (record))
+  if (!rst_job_record_is_finished (record))
     return record->cancelled ? "cancelling" : "running";
-  if (strchr (record->ended, 'u') != NULL)
+  if (strchr (record->task_outcomes, 'u') != NULL)
     return "unknown";
-  if (strchr (record->ended, 'f') != NULL)
+  if (strchr (record->task_outcomes, 'f') != NULL)
     return "failed";
-  if (strchr (record->ended, 'c') != NULL)
+  if (strchr (record->task_outcomes, 'c') != NULL)
     return "cancelled";
   return "done";
 }
@@ -230,20 +230,20 @@
 {
   struct json_object *root = json_object_new_object ();
   const char *slash = strchr (record->name, '/');
-  int64_t open = count_letter (record, '.');
+  int64_t unfinished = count_outcome (record, '.');
 
   rst_json_set_text (root, "id", slash != NULL ? slash + 1 : record->name);
-  rst_json_set_text (root, "policy", policies[record->spec.policy % 3]);
-  rst_json_set_text (root, "state", rst_job_record_state (record));
+  rst_json_set_text (root, "policy", policy_names[record->spec.policy % 3]);
+  rst_json_set_text (root, "state", rst_job_record_get_state (record));
   rst_json_set_number (root, "tasks", record->spec.tasks);
   rst_json_set_number (root, "running", running);
-  rst_json_set_number (root, "waiting", open - running);
-  rst_json_set_number (root, "done", count_letter (record, 'd'));
-  rst_json_set_number (root, "failed", count_letter (record, 'f'));
-  rst_json_set_number (root, "unknown", count_letter (record, 'u'));
-  rst_json_set_number (root, "cancelled", count_letter (record, 'c'));
+  rst_json_set_number (root, "waiting", unfinished - running);
+  rst_json_set_number (root, "done", count_outcome (record, 'd'));
+  rst_json_set_number (root, "failed", count_outcome (record, 'f'));
+  rst_json_set_number (root, "unknown", count_outcome (record, 'u'));
+  rst_json_set_number (root, "cancelled", count_outcome (record, 'c'));
   rst_json_set_text (root, "owner", record->owner);
-  if (waiting_for != NULL && open > running)
+  if (waiting_for != NULL && unfinished > running)
     rst_json_set_text (root, "waiting_for", waiting_for);
-  return rst_json_release (root);
+  return rst_json_format_and_release (root);
 }
--- a/src/state/job.h
+++ b/src/state/job.h
@@ -13,7 +13,7 @@
 #define RST_JOB_TASKS_MAX 100000
 
 /** Longest id of a job in bytes. */
-#define RST_JOB_ID_MAX 36
+#define RST_JOB_ID_MAX_BYTES 36
 
 /** Store keys of jobs. */
 #define RST_KEY_JOBS "jobs/"
@@ -50,8 +50,8 @@
  * @revision: Store revision; 0 when not stored yet.
  * @spec: What was asked for.
  * @cancelled: The caller has cancelled it.
- * @intent: Tasks below this number may have been started.
- * @ended: One letter a task: '.' not ended, 'd' done, 'f' failed, 'u'
+ * @start_intent: Tasks below this number may have been started.
+ * @task_outcomes: One letter a task: '.' not ended, 'd' done, 'f' failed, 'u'
  *   unknown, 'c' cancelled; owned by the record.
  */
 struct rst_job_record
@@ -63,8 +63,8 @@
   uint64_t revision;
   struct rst_job_spec spec;
   bool cancelled;
-  int64_t intent;
-  char *ended;
+  int64_t start_intent;
+  char *task_outcomes;
 };
 
 /**
@@ -97,8 +97,8 @@
 /** rst_job_record_clear() - Frees what a record owns. */
 void rst_job_record_clear (struct rst_job_record *record);
 
-/** rst_job_record_finished() - Whether all tasks have ended. */
-bool rst_job_record_finished (const struct rst_job_record *record);
+/** rst_job_record_is_finished() - Whether all tasks have ended. */
+bool rst_job_record_is_finished (const struct rst_job_record *record);
 
 /**
  * rst_job_record_describe() - Describes a record for callers as JSON.
@@ -111,7 +111,7 @@
 char *rst_job_record_describe (const struct rst_job_record *record,
                                int64_t running, const char *waiting_for);
 
-/** rst_job_record_state() - "running", "done", "cancelled" or the like. */
-const char *rst_job_record_state (const struct rst_job_record *record);
+/** rst_job_record_get_state() - "running", "done", "cancelled" or the like. */
+const char *rst_job_record_get_state (const struct rst_job_record *record);
 
 #endif
--- a/src/state/json.c
+++ b/src/state/json.c
@@ -9,7 +9,7 @@
 }
 
 static struct json_object *
-member (struct json_object *object, const char *key, enum json_type type)
+get_member (struct json_object *object, const char *key, enum json_type type)
 {
   struct json_object *value;
 
@@ -21,41 +21,41 @@
 }
 
 const char *
-rst_json_text (struct json_object *object, const char *key)
+rst_json_get_text (struct json_object *object, const char *key)
 {
-  struct json_object *value = member (object, key, json_type_string);
+  struct json_object *value = get_member (object, key, json_type_string);
 
   return value != NULL ? json_object_get_string (value) : NULL;
 }
 
 int64_t
-rst_json_number (struct json_object *object, const char *key,
-                 int64_t otherwise)
+rst_json_get_number (struct json_object *object, const char *key,
+                     int64_t fallback)
 {
-  struct json_object *value = member (object, key, json_type_int);
+  struct json_object *value = get_member (object, key, json_type_int);
 
-  return value != NULL ? json_object_get_int64 (value) : otherwise;
+  return value != NULL ? json_object_get_int64 (value) : fallback;
 }
 
 bool
-rst_json_bool (struct json_object *object, const char *key, bool otherwise)
+rst_json_get_bool (struct json_object *object, const char *key, bool fallback)
 {
-  struct json_object *value = member (object, key, json_type_boolean);
+  struct json_object *value = get_member (object, key, json_type_boolean);
 
-  return value != NULL ? json_object_get_boolean (value) != 0 : otherwise;
+  return value != NULL ? json_object_get_boolean (value) != 0 : fallback;
 }
 
 struct json_object *
-rst_json_array (struct json_object *object, const char *key)
+rst_json_get_array (struct json_object *object, const char *key)
 {
-  return member (object, key, json_type_array);
+  return get_member (object, key, json_type_array);
 }
 
 bool
 rst_json_copy_text (struct json_object *object, const char *key, char *out,
                     size_t size)
 {
-  const char *text = rst_json_text (object, key);
+  const char *text = rst_json_get_text (object, key);
 
   if (text == NULL || strlen (text) >= size)
     return false;
@@ -84,7 +84,7 @@
 }
 
 char *
-rst_json_release (struct json_object *object)
+rst_json_format_and_release (struct json_object *object)
 {
   char *text = strdup (
       json_object_to_json_string_ext (object, JSON_C_TO_STRING_PLAIN));
--- a/src/state/settings.c
+++ b/src/state/settings.c
@@ -13,7 +13,7 @@
 #define DEFAULT_MAX_DEADLINE_MS 60000
 
 /** Default bound on a team's waiting queries at one scheduler. */
-#define DEFAULT_QUEUE_PER_TEAM 512
+#define DEFAULT_MAX_QUEUED_PER_TEAM 512
 
 /** Length of a secret in bytes. */
 #define SECRET_BYTES 32
@@ -30,23 +30,23 @@
   char *key;
   uint64_t revision;
   char *value;
-  uint64_t refused_revision;
+  uint64_t rejected_revision;
   char *problem;
   struct rst_team *team;
   struct zone_settings *zones;
-  struct rst_cell *cell;
+  struct rst_cell_settings *cell;
   struct rst_zone *record;
 };
 
 struct rst_settings
 {
   GHashTable *branches;
-  struct rst_cell default_cell;
+  struct rst_cell_settings default_cell;
   uint64_t newest;
 };
 
-static const struct rst_cell cell_defaults
-    = { DEFAULT_MAX_DEADLINE_MS, DEFAULT_QUEUE_PER_TEAM, "" };
+static const struct rst_cell_settings cell_defaults
+    = { DEFAULT_MAX_DEADLINE_MS, DEFAULT_MAX_QUEUED_PER_TEAM, "" };
 
 /* ---- Teams ------------------------------------------------------------ */
 
@@ -59,9 +59,10 @@
 };
 
 static const struct rst_conf_field team_fields[] = {
-  RST_CONF_INT ("share", true, struct team_fields, share, 1, 1000000),
-  RST_CONF_INT ("upper_limit", false, struct team_fields, upper_limit, 0,
-                1000000),
+  RST_CONF_INTEGER_FIELD ("share", true, struct team_fields, share, 1,
+                          1000000),
+  RST_CONF_INTEGER_FIELD ("upper_limit", false, struct team_fields,
+                          upper_limit, 0, 1000000),
   { "deleted", RST_CONF_BOOL, false, offsetof (struct team_fields, deleted), 0,
     0, 0, NULL },
   { "keys", RST_CONF_LIST, false, offsetof (struct team_fields, keys), 0, 0, 0,
@@ -69,12 +70,13 @@
 };
 
 static const struct rst_conf_field key_fields[] = {
-  RST_CONF_TEXT ("id", RST_CONF_NAME, true, struct rst_team_key, id),
-  RST_CONF_TEXT ("hash", RST_CONF_STRING, true, struct rst_team_key, hash),
+  RST_CONF_STRING_FIELD ("id", RST_CONF_NAME, true, struct rst_team_key, id),
+  RST_CONF_STRING_FIELD ("hash", RST_CONF_STRING, true, struct rst_team_key,
+                         hash),
 };
 
 static void
-prefix_problems (GString *problems, const char *prefix, const char *lines)
+append_problems (GString *problems, const char *prefix, const char *lines)
 {
   char **list = g_strsplit (lines, "\n", -1);
 
@@ -87,27 +89,28 @@
 read_key (struct json_object *item, size_t index, struct rst_team_key *out,
           GString *problems)
 {
-  GString *own = g_string_new ("");
-  bool sound
-      = rst_conf_read (item, key_fields, G_N_ELEMENTS (key_fields), out, own);
+  GString *item_problems = g_string_new ("");
+  bool valid = rst_conf_read (item, key_fields, G_N_ELEMENTS (key_fields), out,
+                              item_problems);
   char prefix[32];
 
-  if (sound && strlen (out->hash) != RST_HASH_SIZE - 1)
+  if (valid && strlen (out->hash) != RST_TEAM_KEY_HASH_SIZE - 1)
     {
-      g_string_append (own, "hash: must have 64 hexadecimal digits\n");
-      sound = false;
+      g_string_append (item_problems,
+                       "hash: must have 64 hexadecimal digits\n");
+      valid = false;
     }
   g_snprintf (prefix, sizeof prefix, "keys[%zu].", index);
-  prefix_problems (problems, prefix, own->str);
-  g_string_free (own, TRUE);
-  return sound;
+  append_problems (problems, prefix, item_problems->str);
+  g_string_free (item_problems, TRUE);
+  return valid;
 }
 
 static bool
 read_keys (struct json_object *list, struct rst_team *team, GString *problems)
 {
   size_t count = list != NULL ? json_object_array_length (list) : 0;
-  bool sound = true;
+  bool valid = true;
 
   if (count > RST_TEAM_KEYS_MAX)
     {
@@ -116,20 +119,20 @@
       return false;
     }
   for (size_t i = 0; i < count; i++)
-    sound = read_key (json_object_array_get_idx (list, i), i, &team->keys[i],
+    valid = read_key (json_object_array_get_idx (list, i), i, &team->keys[i],
                       problems)
-            && sound;
+            && valid;
   team->key_count = (int)count;
-  return sound;
+  return valid;
 }
 
 int
 rst_team_parse (const char *name, const char *value, struct rst_team *out,
                 GString *problems)
 {
-  struct team_fields fields = { 0, RST_NO_LIMIT, false, NULL };
+  struct team_fields fields = { 0, RST_NO_UPPER_LIMIT, false, NULL };
   struct json_object *root;
-  bool sound;
+  bool valid;
 
   memset (out, 0, sizeof *out);
   g_strlcpy (out->name, name, RST_NAME_SIZE);
@@ -138,7 +141,7 @@
       out->deleted = true;
       return RST_STATE_OK;
     }
-  if (!rst_conf_valid_name (name) || strlen (name) > RST_TEAM_NAME_MAX)
+  if (!rst_conf_is_name (name) || strlen (name) > RST_TEAM_NAME_MAX_BYTES)
     {
       g_string_append (problems, "(key): not a name of a team\n");
       return RST_STATE_INVALID;
@@ -146,7 +149,7 @@
   root = rst_conf_parse (value, problems);
   if (root == NULL)
     return RST_STATE_INVALID;
-  sound = rst_conf_read (root, team_fields, G_N_ELEMENTS (team_fields),
+  valid = rst_conf_read (root, team_fields, G_N_ELEMENTS (team_fields),
                          &fields, problems)
           && read_keys (fields.keys, out, problems);
   out->share = (uint32_t)fields.share;
@@ -154,7 +157,7 @@
   out->deleted = fields.deleted;
   json_object_put (fields.keys);
   json_object_put (root);
-  return sound ? RST_STATE_OK : RST_STATE_INVALID;
+  return valid ? RST_STATE_OK : RST_STATE_INVALID;
 }
 
 char *
@@ -172,12 +175,12 @@
       json_object_array_add (keys, item);
     }
   rst_json_set_number (root, "share", team->share);
-  if (team->upper_limit != RST_NO_LIMIT)
+  if (team->upper_limit != RST_NO_UPPER_LIMIT)
     rst_json_set_number (root, "upper_limit", team->upper_limit);
   if (team->deleted)
     rst_json_set_bool (root, "deleted", true);
   json_object_object_add (root, "keys", keys);
-  return rst_json_release (root);
+  return rst_json_format_and_release (root);
 }
 
 /* ---- Zones and cell --------------------------------------------------- */
@@ -189,13 +192,13 @@
 };
 
 static const char *const zone_states[] = { "in", "out", NULL };
-static const char *const zone_running[] = { "finish", "move", NULL };
+static const char *const zone_running_actions[] = { "finish", "move", NULL };
 
 static const struct rst_conf_field zone_fields[] = {
   { "state", RST_CONF_CHOICE, true, offsetof (struct zone_fields, state), 8, 0,
     0, zone_states },
   { "running", RST_CONF_CHOICE, false, offsetof (struct zone_fields, running),
-    8, 0, 0, zone_running },
+    8, 0, 0, zone_running_actions },
 };
 
 static bool
@@ -203,29 +206,29 @@
            struct rst_zone_setting *out, GString *problems)
 {
   struct zone_fields fields = { "", "finish" };
-  GString *own = g_string_new ("");
+  GString *item_problems = g_string_new ("");
   char prefix[RST_NAME_SIZE + 2];
-  bool sound = rst_conf_valid_name (name);
+  bool valid = rst_conf_is_name (name);
 
   g_snprintf (prefix, sizeof prefix, "%s.", name);
-  if (!sound)
-    g_string_append (own, "(name): not a name of a zone\n");
-  sound = rst_conf_read (item, zone_fields, G_N_ELEMENTS (zone_fields),
-                         &fields, own)
-          && sound;
-  prefix_problems (problems, prefix, own->str);
-  g_string_free (own, TRUE);
+  if (!valid)
+    g_string_append (item_problems, "(name): not a name of a zone\n");
+  valid = rst_conf_read (item, zone_fields, G_N_ELEMENTS (zone_fields),
+                         &fields, item_problems)
+          && valid;
+  append_problems (problems, prefix, item_problems->str);
+  g_string_free (item_problems, TRUE);
   g_strlcpy (out->name, name, RST_NAME_SIZE);
   out->out = strcmp (fields.state, "out") == 0;
   out->move_running = strcmp (fields.running, "move") == 0;
-  return sound;
+  return valid;
 }
 
 static int
 parse_zones (const char *value, struct zone_settings *out, GString *problems)
 {
   struct json_object *root = rst_conf_parse (value, problems);
-  bool sound = true;
+  bool valid = true;
 
   memset (out, 0, sizeof *out);
   if (root == NULL)
@@ -239,40 +242,42 @@
     }
   json_object_object_foreach (root, name, item)
   {
-    sound = read_zone (name, item, &out->zones[out->count], problems) && sound;
+    valid = read_zone (name, item, &out->zones[out->count], problems) && valid;
     out->count++;
   }
   json_object_put (root);
-  return sound ? RST_STATE_OK : RST_STATE_INVALID;
+  return valid ? RST_STATE_OK : RST_STATE_INVALID;
 }
 
 static const struct rst_conf_field cell_fields[] = {
-  RST_CONF_INT ("max_deadline_ms", false, struct rst_cell, max_deadline_ms,
-                100, 600000),
-  RST_CONF_INT ("queue_per_team", false, struct rst_cell, queue_per_team, 1,
-                100000),
-  RST_CONF_TEXT ("stopped", RST_CONF_STRING, false, struct rst_cell, stopped),
+  RST_CONF_INTEGER_FIELD ("max_deadline_ms", false, struct rst_cell_settings,
+                          max_deadline_ms, 100, 600000),
+  RST_CONF_INTEGER_FIELD ("queue_per_team", false, struct rst_cell_settings,
+                          max_queued_per_team, 1, 100000),
+  RST_CONF_STRING_FIELD ("stopped", RST_CONF_STRING, false,
+                         struct rst_cell_settings, stopped_incarnations),
 };
 
 static int
-parse_cell (const char *value, struct rst_cell *out, GString *problems)
+parse_cell (const char *value, struct rst_cell_settings *out,
+            GString *problems)
 {
   struct json_object *root = rst_conf_parse (value, problems);
-  bool sound;
+  bool valid;
 
   *out = cell_defaults;
   if (root == NULL)
     return RST_STATE_INVALID;
-  sound = rst_conf_read (root, cell_fields, G_N_ELEMENTS (cell_fields), out,
+  valid = rst_conf_read (root, cell_fields, G_N_ELEMENTS (cell_fields), out,
                          problems);
   json_object_put (root);
-  return sound ? RST_STATE_OK : RST_STATE_INVALID;
+  return valid ? RST_STATE_OK : RST_STATE_INVALID;
 }
 
 /* ---- Branches --------------------------------------------------------- */
 
 static void
-clear_parsed (struct branch *branch)
+clear_parsed_value (struct branch *branch)
 {
   g_free (branch->team);
   g_free (branch->zones);
@@ -289,7 +294,7 @@
 {
   struct branch *branch = data;
 
-  clear_parsed (branch);
+  clear_parsed_value (branch);
   g_free (branch->key);
   g_free (branch->value);
   g_free (branch->problem);
@@ -297,8 +302,8 @@
 }
 
 static int
-parse_record (const char *value, uint64_t revision, struct rst_zone **out,
-              GString *problems)
+parse_zone_record (const char *value, uint64_t revision, struct rst_zone **out,
+                   GString *problems)
 {
   if (rst_zone_parse (value, revision, out) == RST_OK)
     return RST_STATE_OK;
@@ -318,7 +323,7 @@
                              problems);
     }
   if (g_str_has_prefix (key, RST_KEY_ZONE_RECORDS))
-    return parse_record (value, revision, &branch->record, problems);
+    return parse_zone_record (value, revision, &branch->record, problems);
   if (strcmp (key, RST_KEY_ZONES) == 0)
     {
       branch->zones = g_new0 (struct zone_settings, 1);
@@ -326,7 +331,7 @@
     }
   if (strcmp (key, RST_KEY_CELL) == 0)
     {
-      branch->cell = g_new0 (struct rst_cell, 1);
+      branch->cell = g_new0 (struct rst_cell_settings, 1);
       return parse_cell (value, branch->cell, problems);
     }
   g_string_append (problems, "(key): no such branch\n");
@@ -373,18 +378,18 @@
 }
 
 static void
-refuse (struct branch *branch, uint64_t revision, const char *problem)
+reject_revision (struct branch *branch, uint64_t revision, const char *problem)
 {
   g_free (branch->problem);
   branch->problem = g_strdup (problem);
-  branch->refused_revision = revision;
+  branch->rejected_revision = revision;
 }
 
 static void
-put_in_force (struct branch *branch, struct branch *parsed, uint64_t revision,
+apply_parsed (struct branch *branch, struct branch *parsed, uint64_t revision,
               const char *value)
 {
-  clear_parsed (branch);
+  clear_parsed_value (branch);
   branch->team = parsed->team;
   branch->zones = parsed->zones;
   branch->cell = parsed->cell;
@@ -402,20 +407,20 @@
 {
   struct branch *branch = find_branch (settings, key);
   struct branch parsed = { 0 };
-  gsize mark = problems->len;
+  gsize problems_start = problems->len;
 
   if (branch != NULL
       && (revision <= branch->revision
-          || revision <= branch->refused_revision))
+          || revision <= branch->rejected_revision))
     return RST_STATE_STALE;
   if (parse_branch (&parsed, key, revision, value, problems) != RST_STATE_OK)
     {
-      clear_parsed (&parsed);
-      refuse (find_or_add_branch (settings, key), revision,
-              problems->str + mark);
+      clear_parsed_value (&parsed);
+      reject_revision (find_or_add_branch (settings, key), revision,
+                       problems->str + problems_start);
       return RST_STATE_INVALID;
     }
-  put_in_force (find_or_add_branch (settings, key), &parsed, revision, value);
+  apply_parsed (find_or_add_branch (settings, key), &parsed, revision, value);
   settings->newest = MAX (settings->newest, revision);
   return RST_STATE_OK;
 }
@@ -426,12 +431,12 @@
   struct branch parsed = { 0 };
   int error = parse_branch (&parsed, key, 0, value, problems);
 
-  clear_parsed (&parsed);
+  clear_parsed_value (&parsed);
   return error;
 }
 
 const struct rst_team *
-rst_settings_team (const struct rst_settings *settings, const char *name)
+rst_settings_find_team (const struct rst_settings *settings, const char *name)
 {
   char *key = g_strconcat (RST_KEY_TEAMS, name, NULL);
   const struct branch *branch = find_branch (settings, key);
@@ -443,7 +448,7 @@
 }
 
 const struct rst_zone_setting *
-rst_settings_zone (const struct rst_settings *settings, const char *zone)
+rst_settings_find_zone (const struct rst_settings *settings, const char *zone)
 {
   const struct branch *branch = find_branch (settings, RST_KEY_ZONES);
 
@@ -456,15 +461,17 @@
 }
 
 bool
-rst_settings_zone_out (const struct rst_settings *settings, const char *zone)
+rst_settings_is_zone_out (const struct rst_settings *settings,
+                          const char *zone)
 {
-  const struct rst_zone_setting *setting = rst_settings_zone (settings, zone);
+  const struct rst_zone_setting *setting
+      = rst_settings_find_zone (settings, zone);
 
   return setting != NULL && setting->out;
 }
 
-const struct rst_cell *
-rst_settings_cell (const struct rst_settings *settings)
+const struct rst_cell_settings *
+rst_settings_get_cell (const struct rst_settings *settings)
 {
   const struct branch *branch = find_branch (settings, RST_KEY_CELL);
 
@@ -474,7 +481,8 @@
 }
 
 const struct rst_zone *
-rst_settings_record (const struct rst_settings *settings, const char *zone)
+rst_settings_find_zone_record (const struct rst_settings *settings,
+                               const char *zone)
 {
   char *key = g_strconcat (RST_KEY_ZONE_RECORDS, zone, NULL);
   const struct branch *branch = find_branch (settings, key);
@@ -484,9 +492,10 @@
 }
 
 void
-rst_settings_records (const struct rst_settings *settings,
-                      void (*visit) (const struct rst_zone *, void *),
-                      void *userdata)
+rst_settings_visit_zone_records (const struct rst_settings *settings,
+                                 void (*visit) (const struct rst_zone *,
+                                                void *),
+                                 void *userdata)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -502,8 +511,8 @@
 }
 
 void
-rst_settings_visit (const struct rst_settings *settings,
-                    rst_branch_visit visit, void *userdata)
+rst_settings_visit_branches (const struct rst_settings *settings,
+                             rst_settings_branch_visitor visit, void *userdata)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -519,19 +528,19 @@
 }
 
 const char *
-rst_settings_problem (const struct rst_settings *settings, const char *key,
-                      uint64_t *revision)
+rst_settings_get_problem (const struct rst_settings *settings, const char *key,
+                          uint64_t *revision)
 {
   const struct branch *branch = find_branch (settings, key);
 
   if (branch == NULL || branch->problem == NULL)
     return NULL;
-  *revision = branch->refused_revision;
+  *revision = branch->rejected_revision;
   return branch->problem;
 }
 
 uint64_t
-rst_settings_hash (const struct rst_settings *settings)
+rst_settings_get_hash (const struct rst_settings *settings)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -551,13 +560,14 @@
 }
 
 uint64_t
-rst_settings_newest (const struct rst_settings *settings)
+rst_settings_get_newest_revision (const struct rst_settings *settings)
 {
   return settings->newest;
 }
 
 uint64_t
-rst_settings_revision (const struct rst_settings *settings, const char *key)
+rst_settings_get_revision (const struct rst_settings *settings,
+                           const char *key)
 {
   const struct branch *branch = find_branch (settings, key);
 
@@ -567,18 +577,19 @@
 /* ---- Keys ------------------------------------------------------------- */
 
 static void
-hash_secret (const char *secret, char out[RST_HASH_SIZE])
+compute_secret_hash (const char *secret, char out[RST_TEAM_KEY_HASH_SIZE])
 {
-  unsigned char hash[(RST_HASH_SIZE - 1) / 2];
+  unsigned char hash[(RST_TEAM_KEY_HASH_SIZE - 1) / 2];
 
   crypto_generichash (hash, sizeof hash, (const unsigned char *)secret,
                       strlen (secret), NULL, 0);
-  sodium_bin2hex (out, RST_HASH_SIZE, hash, sizeof hash);
+  sodium_bin2hex (out, RST_TEAM_KEY_HASH_SIZE, hash, sizeof hash);
 }
 
 void
-rst_key_create (const char *team, const char *id, const unsigned char *secret,
-                char *key, size_t size, struct rst_team_key *out)
+rst_team_key_create (const char *team, const char *id,
+                     const unsigned char *secret, char *key, size_t size,
+                     struct rst_team_key *out)
 {
   char text[2 * SECRET_BYTES + 1];
 
@@ -586,32 +597,33 @@
   g_snprintf (key, size, "%s/%s/%s", team, id, text);
   memset (out, 0, sizeof *out);
   g_strlcpy (out->id, id, RST_NAME_SIZE);
-  hash_secret (text, out->hash);
+  compute_secret_hash (text, out->hash);
 }
 
 static bool
 key_matches (const struct rst_team *team, const char *id, const char *secret)
 {
-  char hash[RST_HASH_SIZE];
+  char hash[RST_TEAM_KEY_HASH_SIZE];
 
   for (int i = 0; i < team->key_count; i++)
     {
       if (strcmp (team->keys[i].id, id) != 0)
         continue;
-      hash_secret (secret, hash);
+      compute_secret_hash (secret, hash);
       return sodium_memcmp (hash, team->keys[i].hash, sizeof hash) == 0;
     }
   return false;
 }
 
 const struct rst_team *
-rst_settings_key_team (const struct rst_settings *settings, const char *key)
+rst_settings_find_team_by_key (const struct rst_settings *settings,
+                               const char *key)
 {
   char **parts = g_strsplit (key, "/", 4);
   const struct rst_team *team = NULL;
 
   if (g_strv_length (parts) == 3)
-    team = rst_settings_team (settings, parts[0]);
+    team = rst_settings_find_team (settings, parts[0]);
   if (team != NULL && !key_matches (team, parts[1], parts[2]))
     team = NULL;
   g_strfreev (parts);
--- a/src/state/settings.h
+++ b/src/state/settings.h
@@ -27,10 +27,10 @@
 #define RST_KEY_ZONE_RECORDS "shared/zones/"
 
 /** Upper limit of a team that has none. */
-#define RST_NO_LIMIT UINT32_MAX
+#define RST_NO_UPPER_LIMIT UINT32_MAX
 
 /** Longest name of a team in bytes. */
-#define RST_TEAM_NAME_MAX 24
+#define RST_TEAM_NAME_MAX_BYTES 24
 
 /** Largest number of keys of one team. */
 #define RST_TEAM_KEYS_MAX 32
@@ -39,7 +39,7 @@
 #define RST_ZONES_MAX 16
 
 /** Size of a key's hash in hexadecimal digits with the final NUL. */
-#define RST_HASH_SIZE 65
+#define RST_TEAM_KEY_HASH_SIZE 65
 
 /**
  * struct rst_team_key - A key that a team may present.
@@ -49,14 +49,14 @@
 struct rst_team_key
 {
   char id[RST_NAME_SIZE];
-  char hash[RST_HASH_SIZE];
+  char hash[RST_TEAM_KEY_HASH_SIZE];
 };
 
 /**
  * struct rst_team - A team as the settings describe it.
  * @name: Its name.
  * @share: Its weight when the fleet is full.
- * @upper_limit: How much it may have running, or RST_NO_LIMIT.
+ * @upper_limit: How much it may have running, or RST_NO_UPPER_LIMIT.
  * @key_count: Number of keys.
  * @keys: The keys.
  * @deleted: The team is gone; its branch remains to keep its revision.
@@ -85,29 +85,31 @@
 };
 
 /**
- * struct rst_cell - Settings of the whole cell.
+ * struct rst_cell_settings - Settings of the whole cell.
  * @max_deadline_ms: Bound on a request's deadline.
- * @queue_per_team: Bound on a team's waiting queries at one scheduler.
- * @stopped: Incarnations that operators know to have stopped, separated by
- *   spaces.
+ * @max_queued_per_team: Bound on a team's waiting queries at one scheduler.
+ * @stopped_incarnations: Incarnations that operators know to have stopped,
+ * separated by spaces.
  */
-struct rst_cell
+struct rst_cell_settings
 {
   int64_t max_deadline_ms;
-  int64_t queue_per_team;
-  char stopped[1024];
+  int64_t max_queued_per_team;
+  char stopped_incarnations[1024];
 };
 
 struct rst_settings;
 
 /**
- * typedef rst_branch_visit - Receives one branch.
+ * typedef rst_settings_branch_visitor - Receives one branch.
  * @key: Its store key.
  * @revision: Revision in force.
  * @value: Its JSON text, "" when deleted.
  */
-typedef void (*rst_branch_visit) (const char *key, uint64_t revision,
-                                  const char *value, void *userdata);
+typedef void (*rst_settings_branch_visitor) (const char *key,
+                                             uint64_t revision,
+                                             const char *value,
+                                             void *userdata);
 
 /** rst_settings_create() - Creates an empty tree. */
 struct rst_settings *rst_settings_create (void);
@@ -139,60 +141,65 @@
  */
 int rst_settings_check (const char *key, const char *value, GString *problems);
 
-/** rst_settings_team() - Finds a team that is not deleted, or NULL. */
-const struct rst_team *rst_settings_team (const struct rst_settings *settings,
-                                          const char *name);
+/** rst_settings_find_team() - Finds a team that is not deleted, or NULL. */
+const struct rst_team *
+rst_settings_find_team (const struct rst_settings *settings, const char *name);
 
 /**
- * rst_settings_zone() - What operators say of a zone.
+ * rst_settings_find_zone() - What operators say of a zone.
  *
  * Return: The setting, or NULL when they say nothing of it.
  */
 const struct rst_zone_setting *
-rst_settings_zone (const struct rst_settings *settings, const char *zone);
+rst_settings_find_zone (const struct rst_settings *settings, const char *zone);
 
-/** rst_settings_zone_out() - Whether a zone is taken out. */
-bool rst_settings_zone_out (const struct rst_settings *settings,
-                            const char *zone);
+/** rst_settings_is_zone_out() - Whether a zone is taken out. */
+bool rst_settings_is_zone_out (const struct rst_settings *settings,
+                               const char *zone);
 
-/** rst_settings_cell() - Settings of the cell; defaults when unset. */
-const struct rst_cell *rst_settings_cell (const struct rst_settings *settings);
+/** rst_settings_get_cell() - Settings of the cell; defaults when unset. */
+const struct rst_cell_settings *
+rst_settings_get_cell (const struct rst_settings *settings);
 
-/** rst_settings_record() - A zone's ownership record, or NULL. */
+/** rst_settings_find_zone_record() - A zone's ownership record, or NULL. */
 const struct rst_zone *
-rst_settings_record (const struct rst_settings *settings, const char *zone);
+rst_settings_find_zone_record (const struct rst_settings *settings,
+                               const char *zone);
 
-/** rst_settings_records() - Visits all ownership records. */
-void rst_settings_records (const struct rst_settings *settings,
-                           void (*visit) (const struct rst_zone *record,
-                                          void *userdata),
-                           void *userdata);
+/** rst_settings_visit_zone_records() - Visits all ownership records. */
+void rst_settings_visit_zone_records (
+    const struct rst_settings *settings,
+    void (*visit) (const struct rst_zone *record, void *userdata),
+    void *userdata);
 
-/** rst_settings_visit() - Visits all branches. */
-void rst_settings_visit (const struct rst_settings *settings,
-                         rst_branch_visit visit, void *userdata);
+/** rst_settings_visit_branches() - Visits all branches. */
+void rst_settings_visit_branches (const struct rst_settings *settings,
+                                  rst_settings_branch_visitor visit,
+                                  void *userdata);
 
 /**
- * rst_settings_problem() - Why a newer revision of a branch is not in force.
+ * rst_settings_get_problem() - Why a newer revision of a branch is not in
+ * force.
  * @revision: Receives the refused revision.
  *
  * Return: The problem, or NULL when there is none.
  */
-const char *rst_settings_problem (const struct rst_settings *settings,
-                                  const char *key, uint64_t *revision);
+const char *rst_settings_get_problem (const struct rst_settings *settings,
+                                      const char *key, uint64_t *revision);
 
-/** rst_settings_hash() - Hash over all keys and their revisions. */
-uint64_t rst_settings_hash (const struct rst_settings *settings);
+/** rst_settings_get_hash() - Hash over all keys and their revisions. */
+uint64_t rst_settings_get_hash (const struct rst_settings *settings);
 
-/** rst_settings_newest() - Highest revision held. */
-uint64_t rst_settings_newest (const struct rst_settings *settings);
+/** rst_settings_get_newest_revision() - Highest revision held. */
+uint64_t
+rst_settings_get_newest_revision (const struct rst_settings *settings);
 
-/** rst_settings_revision() - Revision of a branch, or 0. */
-uint64_t rst_settings_revision (const struct rst_settings *settings,
-                                const char *key);
+/** rst_settings_get_revision() - Revision of a branch, or 0. */
+uint64_t rst_settings_get_revision (const struct rst_settings *settings,
+                                    const char *key);
 
 /**
- * rst_key_create() - Makes a key for a team.
+ * rst_team_key_create() - Makes a key for a team.
  * @team: The team.
  * @id: Names the key.
  * @secret: 32 random bytes.
@@ -200,19 +207,20 @@
  * @size: Size of @key in bytes.
  * @out: Receives what the settings store.
  */
-void rst_key_create (const char *team, const char *id,
-                     const unsigned char *secret, char *key, size_t size,
-                     struct rst_team_key *out);
+void rst_team_key_create (const char *team, const char *id,
+                          const unsigned char *secret, char *key, size_t size,
+                          struct rst_team_key *out);
 
 /**
- * rst_settings_key_team() - Finds the team that a key belongs to.
+ * rst_settings_find_team_by_key() - Finds the team that a key belongs to.
  * @settings: The tree.
  * @key: What the caller presents.
  *
  * Return: The team, or NULL when the key is malformed, unknown or withdrawn.
  */
 const struct rst_team *
-rst_settings_key_team (const struct rst_settings *settings, const char *key);
+rst_settings_find_team_by_key (const struct rst_settings *settings,
+                               const char *key);
 
 /** rst_team_format() - Writes a team as JSON, to be freed with free(). */
 char *rst_team_format (const struct rst_team *team);
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -20,7 +20,7 @@
 #define CLIENT_POLL_MS 1000
 
 /** Bound on an answer's size in bytes. */
-#define CLIENT_ANSWER_MAX (8 * 1024 * 1024)
+#define CLIENT_RESPONSE_MAX_BYTES (8 * 1024 * 1024)
 
 /** Idle connections older than this many seconds are not used again. */
 #define CLIENT_IDLE_MAX_S 20
@@ -35,12 +35,12 @@
   size_t length;
   rst_ms timeout_ms;
   rst_ms not_after;
-  bool fresh;
-  GString *answer;
+  bool new_connection;
+  GString *response_body;
   rst_http_done done;
   void *userdata;
   rst_ms sent_at;
-  CK_LIST_ENTRY (transfer) entry;
+  CK_LIST_ENTRY (transfer) list_entry;
 };
 
 struct rst_http_client
@@ -58,7 +58,7 @@
   if (transfer->easy != NULL)
     curl_easy_cleanup (transfer->easy);
   curl_slist_free_all (transfer->headers);
-  g_string_free (transfer->answer, TRUE);
+  g_string_free (transfer->response_body, TRUE);
   g_free (transfer->body);
   g_free (transfer->url);
   g_free (transfer->method);
@@ -66,13 +66,13 @@
 }
 
 static size_t
-on_data (char *data, size_t size, size_t count, void *userdata)
+append_response_data (char *data, size_t size, size_t count, void *userdata)
 {
   struct transfer *transfer = userdata;
 
-  if (transfer->answer->len + size * count > CLIENT_ANSWER_MAX)
+  if (transfer->response_body->len + size * count > CLIENT_RESPONSE_MAX_BYTES)
     return 0;
-  g_string_append_len (transfer->answer, data, (gssize)(size * count));
+  g_string_append_len (transfer->response_body, data, (gssize)(size * count));
   return size * count;
 }
 
@@ -91,7 +91,7 @@
 
 /* Ends a transfer that libcurl never saw. */
 static void
-end_unsent (struct transfer *transfer)
+finish_unsent (struct transfer *transfer)
 {
   struct rst_http_result result = { 0 };
 
@@ -103,14 +103,14 @@
 }
 
 static void
-begin (struct rst_http_client *client, struct transfer *transfer)
+start_transfer (struct rst_http_client *client, struct transfer *transfer)
 {
   CURL *easy;
 
   transfer->sent_at = rst_os_now ();
   if (transfer->not_after != 0 && transfer->sent_at >= transfer->not_after)
     {
-      end_unsent (transfer);
+      finish_unsent (transfer);
       return;
     }
   easy = curl_easy_init ();
@@ -121,22 +121,22 @@
   curl_easy_setopt (easy, CURLOPT_TCP_NODELAY, 1L);
   curl_easy_setopt (easy, CURLOPT_PROXY, "");
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)transfer->timeout_ms);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, on_data);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, append_response_data);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, transfer);
   curl_easy_setopt (easy, CURLOPT_PRIVATE, transfer);
   curl_easy_setopt (easy, CURLOPT_MAXAGE_CONN, (long)CLIENT_IDLE_MAX_S);
-  if (transfer->fresh)
+  if (transfer->new_connection)
     {
       curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, 1L);
       curl_easy_setopt (easy, CURLOPT_FORBID_REUSE, 1L);
     }
   set_method (transfer);
-  CK_LIST_INSERT_HEAD (&client->active, transfer, entry);
+  CK_LIST_INSERT_HEAD (&client->active, transfer, list_entry);
   curl_multi_add_handle (client->multi, easy);
 }
 
 static int
-classify (struct transfer *transfer, CURLcode code)
+error_from_curl (struct transfer *transfer, CURLcode code)
 {
   long sent = 0;
 
@@ -151,8 +151,8 @@
 }
 
 static void
-end_transfer (struct rst_http_client *client, struct transfer *transfer,
-              int error)
+finish_transfer (struct rst_http_client *client, struct transfer *transfer,
+                 int error)
 {
   struct rst_http_result result = { 0 };
   long status = 0;
@@ -160,22 +160,22 @@
   curl_easy_getinfo (transfer->easy, CURLINFO_RESPONSE_CODE, &status);
   result.error = error;
   result.status = error == RST_TRANSPORT_OK ? (int)status : 0;
-  result.body = transfer->answer->str;
-  result.length = transfer->answer->len;
+  result.body = transfer->response_body->str;
+  result.length = transfer->response_body->len;
   result.sent_at = transfer->sent_at;
-  CK_LIST_REMOVE (transfer, entry);
+  CK_LIST_REMOVE (transfer, list_entry);
   curl_multi_remove_handle (client->multi, transfer->easy);
   transfer->done (&result, transfer->userdata);
   transfer_free (transfer);
 }
 
 static void
-collect_finished (struct rst_http_client *client)
+finish_completed (struct rst_http_client *client)
 {
   CURLMsg *message;
-  int left;
+  int remaining;
 
-  while ((message = curl_multi_info_read (client->multi, &left)) != NULL)
+  while ((message = curl_multi_info_read (client->multi, &remaining)) != NULL)
     {
       struct transfer *transfer = NULL;
       CURLcode code = message->data.result;
@@ -183,7 +183,7 @@
       if (message->msg != CURLMSG_DONE)
         continue;
       curl_easy_getinfo (message->easy_handle, CURLINFO_PRIVATE, &transfer);
-      end_transfer (client, transfer, classify (transfer, code));
+      finish_transfer (client, transfer, error_from_curl (transfer, code));
     }
 }
 
@@ -197,15 +197,15 @@
   while (!atomic_load (&client->stop))
     {
       while ((transfer = rst_mailbox_take (client->mailbox)) != NULL)
-        begin (client, transfer);
+        start_transfer (client, transfer);
       curl_multi_perform (client->multi, &running);
-      collect_finished (client);
+      finish_completed (client);
       curl_multi_poll (client->multi, NULL, 0, CLIENT_POLL_MS, NULL);
     }
   while ((transfer = rst_mailbox_take (client->mailbox)) != NULL)
-    end_unsent (transfer);
+    finish_unsent (transfer);
   while ((transfer = CK_LIST_FIRST (&client->active)) != NULL)
-    end_transfer (client, transfer, RST_TRANSPORT_BROKEN);
+    finish_transfer (client, transfer, RST_TRANSPORT_BROKEN);
   return NULL;
 }
 
@@ -252,14 +252,14 @@
   transfer->length = call->length;
   transfer->timeout_ms = call->timeout_ms > 0 ? call->timeout_ms : 1;
   transfer->not_after = call->not_after;
-  transfer->fresh = call->fresh;
+  transfer->new_connection = call->new_connection;
   transfer->done = call->done;
   transfer->userdata = call->userdata;
-  transfer->answer = g_string_new (NULL);
+  transfer->response_body = g_string_new (NULL);
   if (!rst_mailbox_post (client->mailbox, transfer))
     {
       transfer_free (transfer);
-      return RST_TRANSPORT_FULL;
+      return RST_TRANSPORT_QUEUE_FULL;
     }
   curl_multi_wakeup (client->multi);
   return RST_TRANSPORT_OK;
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -49,9 +49,9 @@
  * @timeout_ms: Bound on the whole exchange.
  * @not_after: Last moment at which the client may begin to send it; 0 for
  *   none.
- * @fresh: Use a new connection and no other.  libcurl repeats a request by
- *   itself when a reused connection closes without an answer, which must not
- *   happen to a request that is not idempotent.
+ * @new_connection: Use a new connection and no other.  libcurl repeats a
+ * request by itself when a reused connection closes without an answer, which
+ * must not happen to a request that is not idempotent.
  * @done: Receives the result.
  * @userdata: Passed to @done.
  */
@@ -64,7 +64,7 @@
   size_t length;
   rst_ms timeout_ms;
   rst_ms not_after;
-  bool fresh;
+  bool new_connection;
   rst_http_done done;
   void *userdata;
 };
@@ -84,8 +84,8 @@
  * @client: The client.
  * @call: The request, copied.
  *
- * Return: RST_TRANSPORT_OK, or RST_TRANSPORT_FULL, and then @call's done is
- * not called.
+ * Return: RST_TRANSPORT_OK, or RST_TRANSPORT_QUEUE_FULL, and then @call's done
+ * is not called.
  */
 int rst_http_client_send (struct rst_http_client *client,
                           const struct rst_http_call *call);
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -17,7 +17,7 @@
 {
   REQUEST_READING,
   REQUEST_TOO_LARGE,
-  REQUEST_WAITING,
+  REQUEST_PENDING,
   REQUEST_REPLIED,
 };
 
@@ -32,8 +32,8 @@
   GString *body;
   struct MHD_Response *response;
   unsigned status;
-  bool drop;
-  CK_LIST_ENTRY (rst_http_request) entry;
+  bool aborted;
+  CK_LIST_ENTRY (rst_http_request) list_entry;
 };
 
 struct rst_http_server
@@ -41,9 +41,9 @@
   struct MHD_Daemon *daemon;
   struct rst_http_server_config config;
   char address[RST_ADDRESS_SIZE];
-  atomic_bool closing;
+  atomic_bool keep_alive_disabled;
   pthread_mutex_t lock;
-  CK_LIST_HEAD (request_list, rst_http_request) waiting;
+  CK_LIST_HEAD (request_list, rst_http_request) pending;
 };
 
 static struct rst_http_request *
@@ -92,9 +92,9 @@
 }
 
 static enum MHD_Result
-read_body (struct rst_http_request *request, const char *data, size_t *size)
+append_body (struct rst_http_request *request, const char *data, size_t *size)
 {
-  if (request->body->len + *size > request->server->config.max_body)
+  if (request->body->len + *size > request->server->config.max_body_bytes)
     {
       request->state = REQUEST_TOO_LARGE;
       g_string_truncate (request->body, 0);
@@ -106,7 +106,7 @@
 }
 
 static enum MHD_Result
-refuse_too_large (struct rst_http_request *request)
+reject_too_large (struct rst_http_request *request)
 {
   static const char text[]
       = "{\"outcome\":\"not-run\",\"reason\":\"too-large\","
@@ -117,13 +117,13 @@
 }
 
 static enum MHD_Result
-hand_over (struct rst_http_request *request)
+dispatch_request (struct rst_http_request *request)
 {
   struct rst_http_server *server = request->server;
 
-  request->state = REQUEST_WAITING;
+  request->state = REQUEST_PENDING;
   pthread_mutex_lock (&server->lock);
-  CK_LIST_INSERT_HEAD (&server->waiting, request, entry);
+  CK_LIST_INSERT_HEAD (&server->pending, request, list_entry);
   pthread_mutex_unlock (&server->lock);
   MHD_suspend_connection (request->connection);
   server->config.handler (request, server->config.userdata);
@@ -131,9 +131,9 @@
 }
 
 static enum MHD_Result
-on_access (void *userdata, struct MHD_Connection *connection, const char *url,
-           const char *method, const char *version, const char *data,
-           size_t *size, void **context)
+handle_access (void *userdata, struct MHD_Connection *connection,
+               const char *url, const char *method, const char *version,
+               const char *data, size_t *size, void **context)
 {
   struct rst_http_request *request = *context;
 
@@ -144,15 +144,15 @@
       return MHD_YES;
     }
   if (*size > 0)
-    return read_body (request, data, size);
+    return append_body (request, data, size);
   switch ((enum request_state)atomic_load (&request->state))
     {
     case REQUEST_TOO_LARGE:
-      return refuse_too_large (request);
+      return reject_too_large (request);
     case REQUEST_READING:
-      return hand_over (request);
+      return dispatch_request (request);
     case REQUEST_REPLIED:
-      if (request->drop)
+      if (request->aborted)
         return MHD_NO;
       return MHD_queue_response (connection, request->status,
                                  request->response);
@@ -162,8 +162,8 @@
 }
 
 static void
-on_completed (void *userdata, struct MHD_Connection *connection,
-              void **context, enum MHD_RequestTerminationCode code)
+handle_completed (void *userdata, struct MHD_Connection *connection,
+                  void **context, enum MHD_RequestTerminationCode code)
 {
   struct rst_http_request *request = *context;
 
@@ -176,14 +176,15 @@
 }
 
 static void
-set_bound_address (struct rst_http_server *server, struct sockaddr_in wanted)
+set_bound_address (struct rst_http_server *server,
+                   struct sockaddr_in bound_address)
 {
   const union MHD_DaemonInfo *info
       = MHD_get_daemon_info (server->daemon, MHD_DAEMON_INFO_BIND_PORT);
 
-  wanted.sin_port = htons (info->port);
-  rst_transport_address_text (&wanted, server->address,
-                              sizeof server->address);
+  bound_address.sin_port = htons (info->port);
+  rst_transport_format_address (&bound_address, server->address,
+                                sizeof server->address);
 }
 
 int
@@ -194,18 +195,18 @@
   struct sockaddr_in address;
 
   server->config = *config;
-  CK_LIST_INIT (&server->waiting);
+  CK_LIST_INIT (&server->pending);
   pthread_mutex_init (&server->lock, NULL);
-  if (!rst_transport_address (config->address, &address))
+  if (!rst_transport_parse_address (config->address, &address))
     goto fail;
   server->daemon = MHD_start_daemon (
       MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL,
-      on_access, server, MHD_OPTION_SOCK_ADDR, &address,
+      handle_access, server, MHD_OPTION_SOCK_ADDR, &address,
       MHD_OPTION_CONNECTION_LIMIT, config->max_connections,
-      MHD_OPTION_PER_IP_CONNECTION_LIMIT, config->max_per_ip,
+      MHD_OPTION_PER_IP_CONNECTION_LIMIT, config->max_connections_per_ip,
       MHD_OPTION_CONNECTION_TIMEOUT, config->idle_timeout_s,
       MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_NOTIFY_COMPLETED,
-      on_completed, NULL, MHD_OPTION_END);
+      handle_completed, NULL, MHD_OPTION_END);
   if (server->daemon == NULL)
     goto fail;
   set_bound_address (server, address);
@@ -215,7 +216,7 @@
 fail:
   pthread_mutex_destroy (&server->lock);
   g_free (server);
-  return RST_TRANSPORT_ADDRESS;
+  return RST_TRANSPORT_BAD_ADDRESS;
 }
 
 const char *
@@ -238,11 +239,11 @@
   for (;;)
     {
       pthread_mutex_lock (&server->lock);
-      request = CK_LIST_FIRST (&server->waiting);
+      request = CK_LIST_FIRST (&server->pending);
       pthread_mutex_unlock (&server->lock);
       if (request == NULL)
         break;
-      rst_http_reply (request, 503, NULL, text, sizeof text - 1, 1);
+      rst_http_request_reply (request, 503, NULL, text, sizeof text - 1, 1);
     }
   MHD_stop_daemon (server->daemon);
   pthread_mutex_destroy (&server->lock);
@@ -250,39 +251,41 @@
 }
 
 void
-rst_http_server_close_idle (struct rst_http_server *server)
+rst_http_server_disable_keep_alive (struct rst_http_server *server)
 {
-  atomic_store (&server->closing, true);
+  atomic_store (&server->keep_alive_disabled, true);
 }
 
 const char *
-rst_http_method (const struct rst_http_request *request)
+rst_http_request_method (const struct rst_http_request *request)
 {
   return request->method;
 }
 
 const char *
-rst_http_path (const struct rst_http_request *request)
+rst_http_request_path (const struct rst_http_request *request)
 {
   return request->path;
 }
 
 const char *
-rst_http_header (const struct rst_http_request *request, const char *name)
+rst_http_request_header (const struct rst_http_request *request,
+                         const char *name)
 {
   return MHD_lookup_connection_value (request->connection, MHD_HEADER_KIND,
                                       name);
 }
 
 const char *
-rst_http_query (const struct rst_http_request *request, const char *name)
+rst_http_request_query (const struct rst_http_request *request,
+                        const char *name)
 {
   return MHD_lookup_connection_value (request->connection,
                                       MHD_GET_ARGUMENT_KIND, name);
 }
 
 const char *
-rst_http_body (const struct rst_http_request *request, size_t *length)
+rst_http_request_body (const struct rst_http_request *request, size_t *length)
 {
   if (length != NULL)
     *length = request->body->len;
@@ -290,41 +293,41 @@
 }
 
 static void
-finish (struct rst_http_request *request)
+resume_request (struct rst_http_request *request)
 {
   struct rst_http_server *server = request->server;
 
   pthread_mutex_lock (&server->lock);
-  CK_LIST_REMOVE (request, entry);
+  CK_LIST_REMOVE (request, list_entry);
   pthread_mutex_unlock (&server->lock);
   request->state = REQUEST_REPLIED;
   MHD_resume_connection (request->connection);
 }
 
 void
-rst_http_reply (struct rst_http_request *request, unsigned status,
-                const char *content_type, const void *body, size_t length,
-                unsigned retry_after_s)
+rst_http_request_reply (struct rst_http_request *request, unsigned status,
+                        const char *content_type, const void *body,
+                        size_t length, unsigned retry_after_s)
 {
   request->response
       = make_response (content_type, body, length, retry_after_s);
-  if (atomic_load (&request->server->closing))
+  if (atomic_load (&request->server->keep_alive_disabled))
     MHD_add_response_header (request->response, MHD_HTTP_HEADER_CONNECTION,
                              "close");
   request->status = status;
-  finish (request);
+  resume_request (request);
 }
 
 void
-rst_http_reply_text (struct rst_http_request *request, unsigned status,
-                     const char *text)
+rst_http_request_reply_json (struct rst_http_request *request, unsigned status,
+                             const char *text)
 {
-  rst_http_reply (request, status, NULL, text, strlen (text), 0);
+  rst_http_request_reply (request, status, NULL, text, strlen (text), 0);
 }
 
 void
-rst_http_drop (struct rst_http_request *request)
+rst_http_request_abort (struct rst_http_request *request)
 {
-  request->drop = true;
-  finish (request);
+  request->aborted = true;
+  resume_request (request);
 }
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -17,7 +17,7 @@
  * typedef rst_http_handler - Receives a whole request.
  *
  * Called on the server's thread.  The handler must see to exactly one
- * rst_http_reply() for the request.
+ * rst_http_request_reply() for the request.
  */
 typedef void (*rst_http_handler) (struct rst_http_request *request,
                                   void *userdata);
@@ -25,9 +25,10 @@
 /**
  * struct rst_http_server_config - How a server is set up.
  * @address: "IP:PORT"; port 0 lets the kernel choose.
- * @max_body: Bound on a request's body in bytes; larger ones get 413.
+ * @max_body_bytes: Bound on a request's body in bytes; larger ones get 413.
  * @max_connections: Bound on open connections.
- * @max_per_ip: Bound on connections from one IP number; 0 for none.
+ * @max_connections_per_ip: Bound on connections from one IP number; 0 for
+ * none.
  * @idle_timeout_s: Idle time in seconds after which a connection is closed.
  * @handler: Receives the requests.
  * @userdata: Passed to @handler.
@@ -35,9 +36,9 @@
 struct rst_http_server_config
 {
   const char *address;
-  size_t max_body;
+  size_t max_body_bytes;
   unsigned max_connections;
-  unsigned max_per_ip;
+  unsigned max_connections_per_ip;
   unsigned idle_timeout_s;
   rst_http_handler handler;
   void *userdata;
@@ -48,7 +49,7 @@
  * @config: How it is set up; strings are copied.
  * @out: Receives the server.
  *
- * Return: RST_TRANSPORT_OK or RST_TRANSPORT_ADDRESS.
+ * Return: RST_TRANSPORT_OK or RST_TRANSPORT_BAD_ADDRESS.
  */
 int rst_http_server_create (const struct rst_http_server_config *config,
                             struct rst_http_server **out);
@@ -68,33 +69,34 @@
 void rst_http_server_destroy (struct rst_http_server *server);
 
 /**
- * rst_http_server_close_idle() - Lets connections end at a planned stop.
+ * rst_http_server_disable_keep_alive() - Lets connections end at a planned
+ * stop.
  * @server: The server.
  *
  * Each answer from now on tells its caller that the connection closes.
  */
-void rst_http_server_close_idle (struct rst_http_server *server);
+void rst_http_server_disable_keep_alive (struct rst_http_server *server);
 
-/** rst_http_method() - The request's method, such as "GET". */
-const char *rst_http_method (const struct rst_http_request *request);
+/** rst_http_request_method() - The request's method, such as "GET". */
+const char *rst_http_request_method (const struct rst_http_request *request);
 
-/** rst_http_path() - The request's path, without the query. */
-const char *rst_http_path (const struct rst_http_request *request);
+/** rst_http_request_path() - The request's path, without the query. */
+const char *rst_http_request_path (const struct rst_http_request *request);
 
-/** rst_http_header() - A header's value, or NULL. */
-const char *rst_http_header (const struct rst_http_request *request,
-                             const char *name);
+/** rst_http_request_header() - A header's value, or NULL. */
+const char *rst_http_request_header (const struct rst_http_request *request,
+                                     const char *name);
 
-/** rst_http_query() - A query argument's value, or NULL. */
-const char *rst_http_query (const struct rst_http_request *request,
-                            const char *name);
+/** rst_http_request_query() - A query argument's value, or NULL. */
+const char *rst_http_request_query (const struct rst_http_request *request,
+                                    const char *name);
 
-/** rst_http_body() - The body, with a NUL after its @length bytes. */
-const char *rst_http_body (const struct rst_http_request *request,
-                           size_t *length);
+/** rst_http_request_body() - The body, with a NUL after its @length bytes. */
+const char *rst_http_request_body (const struct rst_http_request *request,
+                                   size_t *length);
 
 /**
- * rst_http_reply() - Answers a request, from any thread.
+ * rst_http_request_reply() - Answers a request, from any thread.
  * @request: The request; not to be used afterwards.
  * @status: HTTP status.
  * @content_type: Content type, or NULL for JSON.
@@ -102,23 +104,23 @@
  * @length: Its length in bytes.
  * @retry_after_s: Value of Retry-After in seconds; 0 for none.
  */
-void rst_http_reply (struct rst_http_request *request, unsigned status,
-                     const char *content_type, const void *body, size_t length,
-                     unsigned retry_after_s);
+void rst_http_request_reply (struct rst_http_request *request, unsigned status,
+                             const char *content_type, const void *body,
+                             size_t length, unsigned retry_after_s);
 
 /**
- * rst_http_reply_text() - Answers with a string as JSON.
+ * rst_http_request_reply_json() - Answers with a string as JSON.
  * @request: The request; not to be used afterwards.
  * @status: HTTP status.
  * @text: The body, copied.
  */
-void rst_http_reply_text (struct rst_http_request *request, unsigned status,
-                          const char *text);
+void rst_http_request_reply_json (struct rst_http_request *request,
+                                  unsigned status, const char *text);
 
 /**
- * rst_http_drop() - Closes the connection without an answer.
+ * rst_http_request_abort() - Closes the connection without an answer.
  * @request: The request; not to be used afterwards.
  */
-void rst_http_drop (struct rst_http_request *request);
+void rst_http_request_abort (struct rst_http_request *request);
 
 #endif
--- a/src/transport/http_sync.h
+++ b/src/transport/http_sync.h
@@ -11,17 +11,18 @@
 #include "rosemarystile.h"
 
 /**
- * rst_http_sync() - Makes a call and waits for its end.
+ * rst_http_sync_request() - Makes a call and waits for its end.
  * @method: Such as "GET".
  * @url: The whole URL.
  * @body: The body, or NULL.
  * @timeout_ms: Bound on the whole exchange.
  * @status: Receives the HTTP status.
- * @answer: Receives the body of the answer.
+ * @response: Receives the body of the answer.
  *
  * Return: A value of enum rst_transport_error.
  */
-int rst_http_sync (const char *method, const char *url, const char *body,
-                   rst_ms timeout_ms, int *status, GString *answer);
+int rst_http_sync_request (const char *method, const char *url,
+                           const char *body, rst_ms timeout_ms, int *status,
+                           GString *response);
 
 #endif
--- a/src/transport/net.c
+++ b/src/transport/net.c
@@ -18,16 +18,16 @@
 #include "util/mailbox.h"
 #include "util/os.h"
 
-#define LOG_PREFIX "net"
+#define LOG_DOMAIN "net"
 
 /** Bound on commands waiting for the net's thread. */
 #define NET_QUEUE_SIZE 32768
 
 /** Events taken from epoll at once. */
-#define NET_EVENTS 64
+#define NET_EVENTS_MAX 64
 
 /** Bytes read from a socket at once. */
-#define NET_READ_SIZE 65536
+#define NET_READ_MAX_BYTES 65536
 
 /** Connections waiting to be accepted. */
 #define NET_BACKLOG 256
@@ -49,12 +49,12 @@
 
 struct connection
 {
-  uint64_t number;
+  uint64_t id;
   int fd;
   bool connecting;
-  GByteArray *in;
+  GByteArray *receive_buffer;
   GByteArray *out;
-  rst_ms heard_at;
+  rst_ms received_at;
   rst_ms sent_at;
 };
 
@@ -62,14 +62,14 @@
 {
   struct rst_net_config config;
   char address[RST_ADDRESS_SIZE];
-  int epoll;
-  int listener;
+  int epoll_fd;
+  int listen_fd;
   struct rst_mailbox *mailbox;
   GHashTable *connections;
   pthread_t thread;
   atomic_bool stop;
-  atomic_uint_fast64_t next_number;
-  rst_ms next_sweep;
+  atomic_uint_fast64_t next_id;
+  rst_ms next_check_at;
 };
 
 static void
@@ -78,67 +78,68 @@
   struct connection *connection = data;
 
   close (connection->fd);
-  g_byte_array_free (connection->in, TRUE);
+  g_byte_array_free (connection->receive_buffer, TRUE);
   g_byte_array_free (connection->out, TRUE);
   g_free (connection);
 }
 
 static struct connection *
-add_connection (struct rst_net *net, uint64_t number, int fd, bool connecting)
+add_connection (struct rst_net *net, uint64_t id, int fd, bool connecting)
 {
   struct connection *connection = g_new0 (struct connection, 1);
   struct epoll_event event = { 0 };
   int one = 1;
 
-  connection->number = number;
+  connection->id = id;
   connection->fd = fd;
   connection->connecting = connecting;
-  connection->in = g_byte_array_new ();
+  connection->receive_buffer = g_byte_array_new ();
   connection->out = g_byte_array_new ();
-  connection->heard_at = rst_os_now ();
-  connection->sent_at = connection->heard_at;
+  connection->received_at = rst_os_now ();
+  connection->sent_at = connection->received_at;
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
   event.events = connecting ? EPOLLIN | EPOLLOUT : EPOLLIN;
-  event.data.u64 = number;
-  epoll_ctl (net->epoll, EPOLL_CTL_ADD, fd, &event);
-  g_hash_table_insert (net->connections, &connection->number, connection);
+  event.data.u64 = id;
+  epoll_ctl (net->epoll_fd, EPOLL_CTL_ADD, fd, &event);
+  g_hash_table_insert (net->connections, &connection->id, connection);
   return connection;
 }
 
 static void
-report (struct rst_net *net, enum rst_net_event event, uint64_t number,
-        const void *data, size_t length)
+emit_event (struct rst_net *net, enum rst_net_event event, uint64_t id,
+            const void *data, size_t length)
 {
-  net->config.handler (event, number, data, length, net->config.userdata);
+  net->config.handler (event, id, data, length, net->config.userdata);
 }
 
 static void
-drop (struct rst_net *net, struct connection *connection, const char *reason)
+close_connection (struct rst_net *net, struct connection *connection,
+                  const char *reason)
 {
-  uint64_t number = connection->number;
+  uint64_t id = connection->id;
 
-  rst_debug (LOG_PREFIX, "Connection closed.", "reason", reason);
-  g_hash_table_remove (net->connections, &number);
-  report (net, RST_NET_CLOSED, number, reason, strlen (reason));
+  rst_debug (LOG_DOMAIN, "Connection closed.", "reason", reason);
+  g_hash_table_remove (net->connections, &id);
+  emit_event (net, RST_NET_CLOSED, id, reason, strlen (reason));
 }
 
 static void
-want_write (struct rst_net *net, struct connection *connection)
+update_epoll_events (struct rst_net *net, struct connection *connection)
 {
   struct epoll_event event = { 0 };
 
   event.events = EPOLLIN;
   if (connection->connecting || connection->out->len > 0)
     event.events |= EPOLLOUT;
-  event.data.u64 = connection->number;
-  epoll_ctl (net->epoll, EPOLL_CTL_MOD, connection->fd, &event);
+  event.data.u64 = connection->id;
+  epoll_ctl (net->epoll_fd, EPOLL_CTL_MOD, connection->fd, &event);
 }
 
 /* Returns false when the connection was dropped. */
 static bool
 flush (struct rst_net *net, struct connection *connection)
 {
-  guint had = connection->out->len;
+  guint unsent_bytes = connection->out->len;
 
   while (connection->out->len > 0)
     {
@@ -151,14 +152,14 @@
         break;
       if (count < 0)
         {
-          drop (net, connection, "write failed");
+          close_connection (net, connection, "write failed");
           return false;
         }
       connection->sent_at = rst_os_now ();
       g_byte_array_remove_range (connection->out, 0, (guint)count);
     }
-  if (had > 0)
-    want_write (net, connection);
+  if (unsent_bytes > 0)
+    update_epoll_events (net, connection);
   return true;
 }
 
@@ -168,7 +169,7 @@
   uint32_t prefix = htonl ((uint32_t)length);
 
   g_byte_array_append (connection->out, (const guint8 *)&prefix,
-                       RST_NET_PREFIX);
+                       RST_NET_PREFIX_BYTES);
   if (length > 0)
     g_byte_array_append (connection->out, data, (guint)length);
 }
@@ -177,10 +178,10 @@
 send_frame (struct rst_net *net, struct connection *connection,
             const GByteArray *frame)
 {
-  if (connection->out->len + frame->len > net->config.max_buffered)
+  if (connection->out->len + frame->len > net->config.max_unsent_bytes)
     {
-      rst_warning (LOG_PREFIX, "Peer does not read; connection closed.");
-      drop (net, connection, "peer does not read");
+      rst_warning (LOG_DOMAIN, "Peer does not read; connection closed.");
+      close_connection (net, connection, "peer does not read");
       return;
     }
   append_frame (connection, frame->data, frame->len);
@@ -192,10 +193,10 @@
 start_connect (struct rst_net *net, const struct command *command)
 {
   struct sockaddr_in address;
-  static const char bad[] = "cannot connect";
+  static const char reason[] = "cannot connect";
   int fd = -1;
 
-  if (!rst_transport_address (command->address, &address))
+  if (!rst_transport_parse_address (command->address, &address))
     goto fail;
   fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
@@ -209,11 +210,12 @@
 fail:
   if (fd >= 0)
     close (fd);
-  report (net, RST_NET_CLOSED, command->connection, bad, sizeof bad - 1);
+  emit_event (net, RST_NET_CLOSED, command->connection, reason,
+              sizeof reason - 1);
 }
 
 static void
-run_command (struct rst_net *net, const struct command *command)
+process_command (struct rst_net *net, const struct command *command)
 {
   struct connection *connection
       = g_hash_table_lookup (net->connections, &command->connection);
@@ -223,7 +225,7 @@
   else if (connection != NULL && command->kind == COMMAND_SEND)
     send_frame (net, connection, command->frame);
   else if (connection != NULL)
-    drop (net, connection, "closed here");
+    close_connection (net, connection, "closed here");
 }
 
 static void
@@ -235,32 +237,32 @@
 }
 
 static void
-run_commands (struct rst_net *net)
+process_commands (struct rst_net *net)
 {
   struct command *command;
 
   rst_os_event_clear (rst_mailbox_fd (net->mailbox));
   while ((command = rst_mailbox_take (net->mailbox)) != NULL)
     {
-      run_command (net, command);
+      process_command (net, command);
       command_free (command);
     }
 }
 
 static void
-accept_all (struct rst_net *net)
+accept_connections (struct rst_net *net)
 {
   for (;;)
     {
       int fd
-          = accept4 (net->listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-      uint64_t number;
+          = accept4 (net->listen_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+      uint64_t id;
 
       if (fd < 0)
         return;
-      number = atomic_fetch_add (&net->next_number, 1);
-      add_connection (net, number, fd, false);
-      report (net, RST_NET_OPENED, number, NULL, 0);
+      id = atomic_fetch_add (&net->next_id, 1);
+      add_connection (net, id, fd, false);
+      emit_event (net, RST_NET_OPENED, id, NULL, 0);
     }
 }
 
@@ -269,52 +271,54 @@
 static bool
 deliver_frames (struct rst_net *net, struct connection *connection)
 {
-  uint64_t number = connection->number;
-  GByteArray *in = connection->in;
-  size_t at = 0;
+  uint64_t id = connection->id;
+  GByteArray *receive_buffer = connection->receive_buffer;
+  size_t offset = 0;
 
-  while (in->len - at >= RST_NET_PREFIX)
+  while (receive_buffer->len - offset >= RST_NET_PREFIX_BYTES)
     {
       uint32_t length;
 
-      memcpy (&length, in->data + at, sizeof length);
+      memcpy (&length, receive_buffer->data + offset, sizeof length);
       length = ntohl (length);
-      if (length > net->config.max_frame)
+      if (length > net->config.max_frame_bytes)
         {
-          rst_warning (LOG_PREFIX, "Frame exceeds the bound; connection "
+          rst_warning (LOG_DOMAIN, "Frame exceeds the bound; connection "
                                    "closed.");
-          drop (net, connection, "frame too large");
+          close_connection (net, connection, "frame too large");
           return false;
         }
-      if (in->len - at - RST_NET_PREFIX < length)
+      if (receive_buffer->len - offset - RST_NET_PREFIX_BYTES < length)
         break;
       if (length > 0)
-        report (net, RST_NET_FRAME, number, in->data + at + RST_NET_PREFIX,
-                length);
-      at += RST_NET_PREFIX + length;
+        emit_event (net, RST_NET_FRAME, id,
+                    receive_buffer->data + offset + RST_NET_PREFIX_BYTES,
+                    length);
+      offset += RST_NET_PREFIX_BYTES + length;
     }
-  if (at > 0)
-    g_byte_array_remove_range (in, 0, (guint)at);
+  if (offset > 0)
+    g_byte_array_remove_range (receive_buffer, 0, (guint)offset);
   return true;
 }
 
 static void
-read_from (struct rst_net *net, struct connection *connection)
+receive_data (struct rst_net *net, struct connection *connection)
 {
-  guint8 buffer[NET_READ_SIZE];
+  guint8 buffer[NET_READ_MAX_BYTES];
   ssize_t count = recv (connection->fd, buffer, sizeof buffer, 0);
 
   if (count < 0 && (errno == EAGAIN || errno == EINTR))
     return;
   if (count <= 0)
     {
-      if (connection->in->len > 0)
-        rst_warning (LOG_PREFIX, "Frame was cut off; connection closed.");
-      drop (net, connection, count == 0 ? "closed by peer" : "read failed");
+      if (connection->receive_buffer->len > 0)
+        rst_warning (LOG_DOMAIN, "Frame was cut off; connection closed.");
+      close_connection (net, connection,
+                        count == 0 ? "closed by peer" : "read failed");
       return;
     }
-  connection->heard_at = rst_os_now ();
-  g_byte_array_append (connection->in, buffer, (guint)count);
+  connection->received_at = rst_os_now ();
+  g_byte_array_append (connection->receive_buffer, buffer, (guint)count);
   deliver_frames (net, connection);
 }
 
@@ -327,22 +331,21 @@
   getsockopt (connection->fd, SOL_SOCKET, SO_ERROR, &error, &size);
   if (error != 0)
     {
-      drop (net, connection, "cannot connect");
+      close_connection (net, connection, "cannot connect");
       return;
     }
   connection->connecting = false;
-  connection->heard_at = rst_os_now ();
-  report (net, RST_NET_OPENED, connection->number, NULL, 0);
+  connection->received_at = rst_os_now ();
+  emit_event (net, RST_NET_OPENED, connection->id, NULL, 0);
   if (flush (net, connection))
-    want_write (net, connection);
+    update_epoll_events (net, connection);
 }
 
 static void
 handle_event (struct rst_net *net, const struct epoll_event *event)
 {
-  uint64_t number = event->data.u64;
-  struct connection *connection
-      = g_hash_table_lookup (net->connections, &number);
+  uint64_t id = event->data.u64;
+  struct connection *connection = g_hash_table_lookup (net->connections, &id);
 
   if (connection == NULL)
     return;
@@ -354,30 +357,31 @@
   if ((event->events & EPOLLOUT) && !flush (net, connection))
     return;
   if (event->events & (EPOLLIN | EPOLLHUP | EPOLLERR))
-    read_from (net, connection);
+    receive_data (net, connection);
 }
 
 /* Sends heartbeats and finds silent connections. */
 static void
-sweep (struct rst_net *net, rst_ms now)
+check_connections (struct rst_net *net, rst_ms now)
 {
   GList *all;
 
-  if (now < net->next_sweep)
+  if (now < net->next_check_at)
     return;
-  net->next_sweep = now + net->config.heartbeat_ms / 2;
+  net->next_check_at = now + net->config.heartbeat_interval_ms / 2;
   all = g_hash_table_get_values (net->connections);
   for (GList *item = all; item != NULL; item = item->next)
     {
       struct connection *connection = item->data;
 
-      if (now - connection->heard_at > net->config.silent_ms)
+      if (now - connection->received_at > net->config.receive_timeout_ms)
         {
-          rst_warning (LOG_PREFIX, "Connection is silent and was closed.");
-          drop (net, connection, "silent");
+          rst_warning (LOG_DOMAIN, "Connection is silent and was closed.");
+          close_connection (net, connection, "silent");
         }
       else if (!connection->connecting
-               && now - connection->sent_at >= net->config.heartbeat_ms / 2)
+               && now - connection->sent_at
+                      >= net->config.heartbeat_interval_ms / 2)
         {
           append_frame (connection, NULL, 0);
           flush (net, connection);
@@ -390,58 +394,58 @@
 net_main (void *userdata)
 {
   struct rst_net *net = userdata;
-  struct epoll_event events[NET_EVENTS];
+  struct epoll_event events[NET_EVENTS_MAX];
 
   while (!atomic_load (&net->stop))
     {
-      int count = epoll_wait (net->epoll, events, NET_EVENTS,
-                              (int)(net->config.heartbeat_ms / 2));
+      int count = epoll_wait (net->epoll_fd, events, NET_EVENTS_MAX,
+                              (int)(net->config.heartbeat_interval_ms / 2));
 
       for (int i = 0; i < count; i++)
         {
           if (events[i].data.u64 == 0)
-            run_commands (net);
+            process_commands (net);
           else if (events[i].data.u64 == 1)
-            accept_all (net);
+            accept_connections (net);
           else
             handle_event (net, &events[i]);
         }
-      sweep (net, rst_os_now ());
+      check_connections (net, rst_os_now ());
     }
-  run_commands (net);
+  process_commands (net);
   return NULL;
 }
 
 static int
-open_listener (struct rst_net *net, const char *wanted)
+open_listener (struct rst_net *net, const char *address_text)
 {
   struct sockaddr_in address;
   socklen_t size = sizeof address;
   int one = 1;
 
-  if (!rst_transport_address (wanted, &address))
-    return RST_TRANSPORT_ADDRESS;
-  net->listener
+  if (!rst_transport_parse_address (address_text, &address))
+    return RST_TRANSPORT_BAD_ADDRESS;
+  net->listen_fd
       = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (net->listener < 0)
-    return RST_TRANSPORT_ADDRESS;
-  setsockopt (net->listener, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-  if (bind (net->listener, (struct sockaddr *)&address, sizeof address) != 0
-      || listen (net->listener, NET_BACKLOG) != 0
-      || getsockname (net->listener, (struct sockaddr *)&address, &size) != 0)
-    return RST_TRANSPORT_ADDRESS;
-  rst_transport_address_text (&address, net->address, sizeof net->address);
+  if (net->listen_fd < 0)
+    return RST_TRANSPORT_BAD_ADDRESS;
+  setsockopt (net->listen_fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
+  if (bind (net->listen_fd, (struct sockaddr *)&address, sizeof address) != 0
+      || listen (net->listen_fd, NET_BACKLOG) != 0
+      || getsockname (net->listen_fd, (struct sockaddr *)&address, &size) != 0)
+    return RST_TRANSPORT_BAD_ADDRESS;
+  rst_transport_format_address (&address, net->address, sizeof net->address);
   return RST_TRANSPORT_OK;
 }
 
 static void
-watch_fd (struct rst_net *net, int fd, uint64_t number)
+add_epoll_fd (struct rst_net *net, int fd, uint64_t id)
 {
   struct epoll_event event = { 0 };
 
   event.events = EPOLLIN;
-  event.data.u64 = number;
-  epoll_ctl (net->epoll, EPOLL_CTL_ADD, fd, &event);
+  event.data.u64 = id;
+  epoll_ctl (net->epoll_fd, EPOLL_CTL_ADD, fd, &event);
 }
 
 static void
@@ -452,10 +456,10 @@
   while (net->mailbox != NULL
          && (command = rst_mailbox_take (net->mailbox)) != NULL)
     command_free (command);
-  if (net->listener >= 0)
-    close (net->listener);
-  if (net->epoll >= 0)
-    close (net->epoll);
+  if (net->listen_fd >= 0)
+    close (net->listen_fd);
+  if (net->epoll_fd >= 0)
+    close (net->epoll_fd);
   g_hash_table_destroy (net->connections);
   rst_mailbox_destroy (net->mailbox);
   g_free (net);
@@ -465,25 +469,25 @@
 rst_net_create (const struct rst_net_config *config, struct rst_net **out)
 {
   struct rst_net *net = g_new0 (struct rst_net, 1);
-  int error = RST_TRANSPORT_ADDRESS;
+  int error = RST_TRANSPORT_BAD_ADDRESS;
 
   net->config = *config;
-  net->listener = -1;
+  net->listen_fd = -1;
   /* 0 and 1 mark the mailbox and the listener in epoll. */
-  atomic_init (&net->next_number, 2);
+  atomic_init (&net->next_id, 2);
   net->connections = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
                                             connection_free);
-  net->epoll = epoll_create1 (EPOLL_CLOEXEC);
+  net->epoll_fd = epoll_create1 (EPOLL_CLOEXEC);
   net->mailbox = rst_mailbox_create (NET_QUEUE_SIZE);
-  if (net->epoll < 0 || net->mailbox == NULL)
+  if (net->epoll_fd < 0 || net->mailbox == NULL)
     goto fail;
-  watch_fd (net, rst_mailbox_fd (net->mailbox), 0);
+  add_epoll_fd (net, rst_mailbox_fd (net->mailbox), 0);
   if (config->listen != NULL)
     {
       error = open_listener (net, config->listen);
       if (error != RST_TRANSPORT_OK)
         goto fail;
-      watch_fd (net, net->listener, 1);
+      add_epoll_fd (net, net->listen_fd, 1);
     }
   /* Handlers may use the net as soon as its thread runs. */
   *out = net;
@@ -504,7 +508,7 @@
 }
 
 static bool
-post (struct rst_net *net, struct command *command)
+post_command (struct rst_net *net, struct command *command)
 {
   if (rst_mailbox_post (net->mailbox, command))
     return true;
@@ -516,12 +520,12 @@
 rst_net_connect (struct rst_net *net, const char *address)
 {
   struct command *command = g_new0 (struct command, 1);
-  uint64_t number = atomic_fetch_add (&net->next_number, 1);
+  uint64_t id = atomic_fetch_add (&net->next_id, 1);
 
   command->kind = COMMAND_CONNECT;
-  command->connection = number;
+  command->connection = id;
   g_strlcpy (command->address, address, sizeof command->address);
-  return post (net, command) ? number : 0;
+  return post_command (net, command) ? id : 0;
 }
 
 int
@@ -534,7 +538,8 @@
   command->connection = connection;
   command->frame = g_byte_array_sized_new ((guint)length);
   g_byte_array_append (command->frame, data, (guint)length);
-  return post (net, command) ? RST_TRANSPORT_OK : RST_TRANSPORT_FULL;
+  return post_command (net, command) ? RST_TRANSPORT_OK
+                                     : RST_TRANSPORT_QUEUE_FULL;
 }
 
 void
@@ -544,7 +549,7 @@
 
   command->kind = COMMAND_CLOSE;
   command->connection = connection;
-  post (net, command);
+  post_command (net, command);
 }
 
 void
--- a/src/transport/net.h
+++ b/src/transport/net.h
@@ -18,7 +18,7 @@
 struct rst_net;
 
 /** Bytes before each frame. */
-#define RST_NET_PREFIX 4
+#define RST_NET_PREFIX_BYTES 4
 
 /**
  * enum rst_net_event - What happened to a connection.
@@ -48,20 +48,21 @@
 /**
  * struct rst_net_config - How a net is set up.
  * @listen: "IP:PORT" to listen on, or NULL; port 0 lets the kernel choose.
- * @max_frame: Bound on a frame in bytes.
- * @max_buffered: Bound on unsent bytes of one connection.
- * @heartbeat_ms: Time between heartbeats.
- * @silent_ms: Time without any byte after which a connection is closed.
+ * @max_frame_bytes: Bound on a frame in bytes.
+ * @max_unsent_bytes: Bound on unsent bytes of one connection.
+ * @heartbeat_interval_ms: Time between heartbeats.
+ * @receive_timeout_ms: Time without any byte after which a connection is
+ * closed.
  * @handler: Receives events.
  * @userdata: Passed to @handler.
  */
 struct rst_net_config
 {
   const char *listen;
-  size_t max_frame;
-  size_t max_buffered;
-  rst_ms heartbeat_ms;
-  rst_ms silent_ms;
+  size_t max_frame_bytes;
+  size_t max_unsent_bytes;
+  rst_ms heartbeat_interval_ms;
+  rst_ms receive_timeout_ms;
   rst_net_handler handler;
   void *userdata;
 };
@@ -71,7 +72,7 @@
  * @config: How it is set up.
  * @out: Receives the net.
  *
- * Return: RST_TRANSPORT_OK or RST_TRANSPORT_ADDRESS.
+ * Return: RST_TRANSPORT_OK or RST_TRANSPORT_BAD_ADDRESS.
  */
 int rst_net_create (const struct rst_net_config *config, struct rst_net **out);
 
@@ -98,7 +99,7 @@
  * A frame for a connection that is gone is dropped; its closing has been or
  * will be reported.
  *
- * Return: RST_TRANSPORT_OK or RST_TRANSPORT_FULL.
+ * Return: RST_TRANSPORT_OK or RST_TRANSPORT_QUEUE_FULL.
  */
 int rst_net_send (struct rst_net *net, uint64_t connection, const void *data,
                   size_t length);
--- a/src/transport/transport.c
+++ b/src/transport/transport.c
@@ -22,9 +22,9 @@
       return "no answer in time";
     case RST_TRANSPORT_BROKEN:
       return "connection broke";
-    case RST_TRANSPORT_FULL:
+    case RST_TRANSPORT_QUEUE_FULL:
       return "queue is full";
-    case RST_TRANSPORT_ADDRESS:
+    case RST_TRANSPORT_BAD_ADDRESS:
       return "address cannot be used";
     default:
       return "unknown transport error";
@@ -32,12 +32,12 @@
 }
 
 bool
-rst_transport_address (const char *text, struct sockaddr_in *out)
+rst_transport_parse_address (const char *text, struct sockaddr_in *out)
 {
   const char *colon = strrchr (text, ':');
   char host[RST_ADDRESS_SIZE];
 
-  if (!rst_conf_valid_address (text))
+  if (!rst_conf_is_address (text))
     return false;
   g_strlcpy (host, text, (gsize)(colon - text) + 1);
   memset (out, 0, sizeof *out);
@@ -47,8 +47,8 @@
 }
 
 void
-rst_transport_address_text (const struct sockaddr_in *address, char *out,
-                            size_t size)
+rst_transport_format_address (const struct sockaddr_in *address, char *out,
+                              size_t size)
 {
   char host[INET_ADDRSTRLEN];
 
--- a/src/transport/transport.h
+++ b/src/transport/transport.h
@@ -14,8 +14,8 @@
  * @RST_TRANSPORT_NOT_SENT: Nothing of the request left this process.
  * @RST_TRANSPORT_TIMEOUT: The request may have arrived; no answer in time.
  * @RST_TRANSPORT_BROKEN: The request may have arrived; the connection broke.
- * @RST_TRANSPORT_FULL: A bounded queue was full; nothing was sent.
- * @RST_TRANSPORT_ADDRESS: An address could not be used.
+ * @RST_TRANSPORT_QUEUE_FULL: A bounded queue was full; nothing was sent.
+ * @RST_TRANSPORT_BAD_ADDRESS: An address could not be used.
  */
 enum rst_transport_error
 {
@@ -23,8 +23,8 @@
   RST_TRANSPORT_NOT_SENT,
   RST_TRANSPORT_TIMEOUT,
   RST_TRANSPORT_BROKEN,
-  RST_TRANSPORT_FULL,
-  RST_TRANSPORT_ADDRESS,
+  RST_TRANSPORT_QUEUE_FULL,
+  RST_TRANSPORT_BAD_ADDRESS,
 };
 
 /**
@@ -36,21 +36,21 @@
 const char *rst_transport_strerror (int error);
 
 /**
- * rst_transport_address() - Reads an "IP:PORT" address.
+ * rst_transport_parse_address() - Reads an "IP:PORT" address.
  * @text: The text.
  * @out: Receives the address.
  *
  * Return: false when the text is malformed.
  */
-bool rst_transport_address (const char *text, struct sockaddr_in *out);
+bool rst_transport_parse_address (const char *text, struct sockaddr_in *out);
 
 /**
- * rst_transport_address_text() - Writes an address as "IP:PORT".
+ * rst_transport_format_address() - Writes an address as "IP:PORT".
  * @address: The address.
  * @out: Receives the text.
  * @size: Size of @out in bytes.
  */
-void rst_transport_address_text (const struct sockaddr_in *address, char *out,
-                                 size_t size);
+void rst_transport_format_address (const struct sockaddr_in *address,
+                                   char *out, size_t size);
 
 #endif
--- a/src/util/conf.c
+++ b/src/util/conf.c
@@ -9,7 +9,7 @@
 #define PORT_MAX 65535
 
 bool
-rst_conf_valid_name (const char *text)
+rst_conf_is_name (const char *text)
 {
   size_t length = strlen (text);
 
@@ -22,18 +22,18 @@
 }
 
 bool
-rst_conf_valid_address (const char *text)
+rst_conf_is_address (const char *text)
 {
   const char *colon = strrchr (text, ':');
   char host[RST_ADDRESS_SIZE];
-  struct in_addr in;
+  struct in_addr ignored_address;
   guint64 port;
 
   if (colon == NULL || (size_t)(colon - text) >= sizeof host)
     return false;
   memcpy (host, text, (size_t)(colon - text));
   host[colon - text] = '\0';
-  if (inet_pton (AF_INET, host, &in) != 1)
+  if (inet_pton (AF_INET, host, &ignored_address) != 1)
     return false;
   return g_ascii_string_to_unsigned (colon + 1, 10, 0, PORT_MAX, &port, NULL);
 }
@@ -44,14 +44,14 @@
            struct json_object **out)
 {
   char **parts = g_strsplit (path, ".", -1);
-  struct json_object *at = object;
+  struct json_object *node = object;
   bool found = true;
 
   for (int i = 0; parts[i] != NULL && found; i++)
-    found = json_object_is_type (at, json_type_object)
-            && json_object_object_get_ex (at, parts[i], &at);
+    found = json_object_is_type (node, json_type_object)
+            && json_object_object_get_ex (node, parts[i], &node);
   g_strfreev (parts);
-  *out = at;
+  *out = node;
   return found;
 }
 
@@ -69,9 +69,9 @@
 {
   if (strlen (text) >= field->size)
     return "is too long";
-  if (field->type == RST_CONF_NAME && !rst_conf_valid_name (text))
+  if (field->type == RST_CONF_NAME && !rst_conf_is_name (text))
     return "must be made of letters, digits, '-', '_' and '.'";
-  if (field->type == RST_CONF_ADDRESS && !rst_conf_valid_address (text))
+  if (field->type == RST_CONF_ADDRESS && !rst_conf_is_address (text))
     return "must be an address IP:PORT";
   if (field->type == RST_CONF_CHOICE && !is_choice (field->choices, text))
     return "is not one of the known words";
@@ -132,15 +132,15 @@
 read_text (const struct rst_conf_field *field, struct json_object *value,
            void *target, GString *problems)
 {
-  const char *wrong = NULL;
+  const char *problem = NULL;
 
   if (!json_object_is_type (value, json_type_string))
-    wrong = "must be text";
+    problem = "must be text";
   else
-    wrong = check_text (field, json_object_get_string (value));
-  if (wrong != NULL)
+    problem = check_text (field, json_object_get_string (value));
+  if (problem != NULL)
     {
-      g_string_append_printf (problems, "%s: %s\n", field->path, wrong);
+      g_string_append_printf (problems, "%s: %s\n", field->path, problem);
       return false;
     }
   g_strlcpy ((char *)target + field->offset, json_object_get_string (value),
@@ -166,8 +166,8 @@
 }
 
 static bool
-is_known (const struct rst_conf_field *fields, int count, const char *path,
-          bool *is_prefix)
+is_known_path (const struct rst_conf_field *fields, int count,
+               const char *path, bool *is_prefix)
 {
   size_t length = strlen (path);
 
@@ -184,61 +184,63 @@
 }
 
 static bool
-check_unknown (struct json_object *object, const char *above,
-               const struct rst_conf_field *fields, int count,
-               GString *problems)
+check_unknown_fields (struct json_object *object, const char *parent_path,
+                      const struct rst_conf_field *fields, int count,
+                      GString *problems)
 {
-  bool sound = true;
+  bool valid = true;
 
   json_object_object_foreach (object, key, value)
   {
-    char *path = above[0] != '\0' ? g_strdup_printf ("%s.%s", above, key)
-                                  : g_strdup (key);
+    char *path = parent_path[0] != '\0'
+                     ? g_strdup_printf ("%s.%s", parent_path, key)
+                     : g_strdup (key);
     bool is_prefix;
 
-    if (!is_known (fields, count, path, &is_prefix))
+    if (!is_known_path (fields, count, path, &is_prefix))
       {
         g_string_append_printf (problems, "%s: unknown field\n", path);
-        sound = false;
+        valid = false;
       }
     else if (is_prefix && !json_object_is_type (value, json_type_object))
       {
         g_string_append_printf (problems, "%s: must be an object\n", path);
-        sound = false;
+        valid = false;
       }
     else if (is_prefix)
-      sound = check_unknown (value, path, fields, count, problems) && sound;
+      valid = check_unknown_fields (value, path, fields, count, problems)
+              && valid;
     g_free (path);
   }
-  return sound;
+  return valid;
 }
 
 bool
 rst_conf_read (struct json_object *object, const struct rst_conf_field *fields,
                int count, void *target, GString *problems)
 {
-  bool sound;
+  bool valid;
 
   if (!json_object_is_type (object, json_type_object))
     {
       g_string_append (problems, "(root): must be an object\n");
       return false;
     }
-  sound = check_unknown (object, "", fields, count, problems);
+  valid = check_unknown_fields (object, "", fields, count, problems);
   for (int i = 0; i < count; i++)
     {
       struct json_object *value;
 
       if (find_path (object, fields[i].path, &value))
-        sound = read_field (&fields[i], value, target, problems) && sound;
+        valid = read_field (&fields[i], value, target, problems) && valid;
       else if (fields[i].required)
         {
           g_string_append_printf (problems, "%s: is missing\n",
                                   fields[i].path);
-          sound = false;
+          valid = false;
         }
     }
-  return sound;
+  return valid;
 }
 
 struct json_object *
@@ -269,7 +271,7 @@
 {
   struct json_object *object;
   char *text = NULL;
-  bool sound = false;
+  bool valid = false;
 
   if (!g_file_get_contents (file, &text, NULL, NULL))
     {
@@ -278,8 +280,8 @@
     }
   object = rst_conf_parse (text, problems);
   if (object != NULL)
-    sound = rst_conf_read (object, fields, count, target, problems);
+    valid = rst_conf_read (object, fields, count, target, problems);
   json_object_put (object);
   g_free (text);
-  return sound;
+  return valid;
 }
--- a/src/util/conf.h
+++ b/src/util/conf.h
@@ -60,12 +60,12 @@
   const char *const *choices;
 };
 
-#define RST_CONF_TEXT(path, type, required, structure, member)                \
+#define RST_CONF_STRING_FIELD(path, type, required, structure, member)        \
   {                                                                           \
     path, type, required, offsetof (structure, member),                       \
         sizeof (((structure *)0)->member), 0, 0, NULL                         \
   }
-#define RST_CONF_INT(path, required, structure, member, min, max)             \
+#define RST_CONF_INTEGER_FIELD(path, required, structure, member, min, max)   \
   {                                                                           \
     path, RST_CONF_INTEGER, required, offsetof (structure, member), 0, min,   \
         max, NULL                                                             \
@@ -104,15 +104,15 @@
                     int count, void *target, GString *problems);
 
 /**
- * rst_conf_valid_address() - Tells whether text is "IP:PORT".
+ * rst_conf_is_address() - Tells whether text is "IP:PORT".
  * @text: The text.
  */
-bool rst_conf_valid_address (const char *text);
+bool rst_conf_is_address (const char *text);
 
 /**
- * rst_conf_valid_name() - Tells whether text can name a thing.
+ * rst_conf_is_name() - Tells whether text can name a thing.
  * @text: The text.
  */
-bool rst_conf_valid_name (const char *text);
+bool rst_conf_is_name (const char *text);
 
 #endif
--- a/src/util/histogram.c
+++ b/src/util/histogram.c
@@ -1,11 +1,11 @@
 #include "util/histogram.h"
 
 /* From one exchange within a zone up to the longest objective. */
-static const int64_t bounds_ms[RST_HISTOGRAM_BOUNDS]
+static const int64_t bounds_ms[RST_HISTOGRAM_BOUND_COUNT]
     = { 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000, 30000 };
 
 int64_t
-rst_histogram_bound (int bucket)
+rst_histogram_bound_ms (int bucket)
 {
   return bounds_ms[bucket];
 }
@@ -17,7 +17,7 @@
 
   if (ms < 0)
     ms = 0;
-  while (bucket < RST_HISTOGRAM_BOUNDS && ms > bounds_ms[bucket])
+  while (bucket < RST_HISTOGRAM_BOUND_COUNT && ms > bounds_ms[bucket])
     bucket++;
   histogram->counts[bucket]++;
   histogram->total++;
--- a/src/util/histogram.h
+++ b/src/util/histogram.h
@@ -10,7 +10,7 @@
 #include <stdint.h>
 
 /** Number of buckets with an upper bound; one more takes the rest. */
-#define RST_HISTOGRAM_BOUNDS 13
+#define RST_HISTOGRAM_BOUND_COUNT 13
 
 /**
  * struct rst_histogram - Durations counted so far.
@@ -20,13 +20,13 @@
  */
 struct rst_histogram
 {
-  uint64_t counts[RST_HISTOGRAM_BOUNDS + 1];
+  uint64_t counts[RST_HISTOGRAM_BOUND_COUNT + 1];
   uint64_t total;
   int64_t sum_ms;
 };
 
-/** rst_histogram_bound() - Upper bound of a bucket in milliseconds. */
-int64_t rst_histogram_bound (int bucket);
+/** rst_histogram_bound_ms() - Upper bound of a bucket in milliseconds. */
+int64_t rst_histogram_bound_ms (int bucket);
 
 /** rst_histogram_add() - Counts a duration; a negative one counts as 0. */
 void rst_histogram_add (struct rst_histogram *histogram, int64_t ms);
--- a/src/util/log.c
+++ b/src/util/log.c
@@ -16,11 +16,11 @@
 {
   char process[64];
   bool json;
-  GLogLevelFlags least;
+  GLogLevelFlags min_level;
   int fd;
   GMutex lock;
-  gint64 filled_at;
-  gint64 budget;
+  gint64 refilled_at_us;
+  gint64 tokens;
   gint64 dropped;
 } log_state = { "", false, G_LOG_LEVEL_INFO, STDERR_FILENO };
 
@@ -30,39 +30,40 @@
 
 /* Whether a line fits the budget; lines that don't are counted. */
 static bool
-take_budget (gint64 now_us)
+take_token (gint64 now_us)
 {
-  gint64 gained = (now_us - log_state.filled_at) * LOG_LINES_PER_S / 1000000;
+  gint64 refill
+      = (now_us - log_state.refilled_at_us) * LOG_LINES_PER_S / 1000000;
 
-  if (gained > 0)
+  if (refill > 0)
     {
-      log_state.budget = MIN (log_state.budget + gained, LOG_LINES_BURST);
-      log_state.filled_at = now_us;
+      log_state.tokens = MIN (log_state.tokens + refill, LOG_LINES_BURST);
+      log_state.refilled_at_us = now_us;
     }
-  if (log_state.budget <= 0)
+  if (log_state.tokens <= 0)
     return false;
-  log_state.budget--;
+  log_state.tokens--;
   return true;
 }
 
 /* Writes a line without ever waiting for a reader. */
 static void
-put_line (const GString *line, gint64 now_us)
+output_line (const GString *line, gint64 now_us)
 {
   struct pollfd target = { log_state.fd, POLLOUT, 0 };
-  char note[64];
+  char notice[64];
 
   g_mutex_lock (&log_state.lock);
-  if (!take_budget (now_us) || poll (&target, 1, 0) == 0)
+  if (!take_token (now_us) || poll (&target, 1, 0) == 0)
     log_state.dropped++;
   else
     {
       if (log_state.dropped > 0)
         {
-          g_snprintf (note, sizeof note,
+          g_snprintf (notice, sizeof notice,
                       "lines dropped: %" G_GINT64_FORMAT "\n",
                       log_state.dropped);
-          if (write (log_state.fd, note, strlen (note)) > 0)
+          if (write (log_state.fd, notice, strlen (notice)) > 0)
             log_state.dropped = 0;
         }
       while (write (log_state.fd, line->str, line->len) < 0 && errno == EINTR)
@@ -117,11 +118,11 @@
 }
 
 static void
-format_plain (GString *line, const char *when, GLogLevelFlags level,
+format_plain (GString *line, const char *timestamp, GLogLevelFlags level,
               const GLogField *fields, gsize count)
 {
-  g_string_append_printf (line, "%s %s %s: %s: %s", when, log_state.process,
-                          level_name (level),
+  g_string_append_printf (line, "%s %s %s: %s: %s", timestamp,
+                          log_state.process, level_name (level),
                           find_field (fields, count, "GLIB_DOMAIN"),
                           find_field (fields, count, "MESSAGE"));
   for (gsize i = 0; i < count; i++)
@@ -141,11 +142,11 @@
 }
 
 static void
-format_json (GString *line, const char *when, GLogLevelFlags level,
+format_json (GString *line, const char *timestamp, GLogLevelFlags level,
              const GLogField *fields, gsize count)
 {
   g_string_append_c (line, '{');
-  append_json_field (line, "time", when);
+  append_json_field (line, "time", timestamp);
   append_json_field (line, "process", log_state.process);
   append_json_field (line, "level", level_name (level));
   append_json_field (line, "part", find_field (fields, count, "GLIB_DOMAIN"));
@@ -157,25 +158,25 @@
 }
 
 static GLogWriterOutput
-write_line (GLogLevelFlags level, const GLogField *fields, gsize count,
-            gpointer userdata)
+write_record (GLogLevelFlags level, const GLogField *fields, gsize count,
+              gpointer userdata)
 {
   GString *line;
-  char when[32];
+  char timestamp[32];
   int64_t now = g_get_real_time ();
 
   (void)userdata;
   if (!rst_log_enabled (level))
     return G_LOG_WRITER_HANDLED;
-  g_snprintf (when, sizeof when, "%" G_GINT64_FORMAT ".%03d", now / 1000000,
-              (int)(now / 1000 % 1000));
+  g_snprintf (timestamp, sizeof timestamp, "%" G_GINT64_FORMAT ".%03d",
+              now / 1000000, (int)(now / 1000 % 1000));
   line = g_string_sized_new (256);
   if (log_state.json)
-    format_json (line, when, level, fields, count);
+    format_json (line, timestamp, level, fields, count);
   else
-    format_plain (line, when, level, fields, count);
+    format_plain (line, timestamp, level, fields, count);
   g_string_append_c (line, '\n');
-  put_line (line, now);
+  output_line (line, now);
   g_string_free (line, TRUE);
   return G_LOG_WRITER_HANDLED;
 }
@@ -187,24 +188,24 @@
   log_state.json = config->json;
   log_state.fd = config->to_stdout ? STDOUT_FILENO : STDERR_FILENO;
   if (strcmp (config->level, "error") == 0)
-    log_state.least = G_LOG_LEVEL_CRITICAL;
+    log_state.min_level = G_LOG_LEVEL_CRITICAL;
   else if (strcmp (config->level, "warning") == 0)
-    log_state.least = G_LOG_LEVEL_WARNING;
+    log_state.min_level = G_LOG_LEVEL_WARNING;
   else if (strcmp (config->level, "debug") == 0)
-    log_state.least = G_LOG_LEVEL_DEBUG;
+    log_state.min_level = G_LOG_LEVEL_DEBUG;
   else
-    log_state.least = G_LOG_LEVEL_INFO;
-  g_log_set_writer_func (write_line, NULL, NULL);
+    log_state.min_level = G_LOG_LEVEL_INFO;
+  g_log_set_writer_func (write_record, NULL, NULL);
 }
 
 bool
 rst_log_enabled (GLogLevelFlags level)
 {
-  return (level & G_LOG_LEVEL_MASK) <= log_state.least;
+  return (level & G_LOG_LEVEL_MASK) <= log_state.min_level;
 }
 
 void
-rst_log_event (GLogLevelFlags level, const char *prefix, const char *message,
+rst_log_event (GLogLevelFlags level, const char *domain, const char *message,
                ...)
 {
   GLogField fields[LOG_FIELDS_MAX + 2];
@@ -214,7 +215,7 @@
 
   if (!rst_log_enabled (level))
     return;
-  fields[count++] = (GLogField){ "GLIB_DOMAIN", prefix, -1 };
+  fields[count++] = (GLogField){ "GLIB_DOMAIN", domain, -1 };
   fields[count++] = (GLogField){ "MESSAGE", message, -1 };
   va_start (args, message);
   while ((key = va_arg (args, const char *)) != NULL
--- a/src/util/log.h
+++ b/src/util/log.h
@@ -40,20 +40,20 @@
 /**
  * rst_log_event() - Logs a short sentence with named values.
  * @level: Severity.
- * @prefix: Prefix of the part, a static string.
+ * @domain: Prefix of the part, a static string.
  * @message: The sentence.
  *
  * Pairs of strings, name then value, follow; NULL ends them.  A NULL value
  * is left out.
  */
-void rst_log_event (GLogLevelFlags level, const char *prefix,
+void rst_log_event (GLogLevelFlags level, const char *domain,
                     const char *message, ...) G_GNUC_NULL_TERMINATED;
 
-#define rst_info(prefix, ...)                                                 \
-  rst_log_event (G_LOG_LEVEL_INFO, prefix, __VA_ARGS__, NULL)
-#define rst_warning(prefix, ...)                                              \
-  rst_log_event (G_LOG_LEVEL_WARNING, prefix, __VA_ARGS__, NULL)
-#define rst_debug(prefix, ...)                                                \
-  rst_log_event (G_LOG_LEVEL_DEBUG, prefix, __VA_ARGS__, NULL)
+#define rst_info(domain, ...)                                                 \
+  rst_log_event (G_LOG_LEVEL_INFO, domain, __VA_ARGS__, NULL)
+#define rst_warning(domain, ...)                                              \
+  rst_log_event (G_LOG_LEVEL_WARNING, domain, __VA_ARGS__, NULL)
+#define rst_debug(domain, ...)                                                \
+  rst_log_event (G_LOG_LEVEL_DEBUG, domain, __VA_ARGS__, NULL)
 
 #endif
--- a/src/util/mailbox.c
+++ b/src/util/mailbox.c
@@ -86,7 +86,7 @@
 }
 
 bool
-rst_mailbox_closed (const struct rst_mailbox *mailbox)
+rst_mailbox_is_closed (const struct rst_mailbox *mailbox)
 {
   return atomic_load (&mailbox->closed);
 }
--- a/src/util/mailbox.h
+++ b/src/util/mailbox.h
@@ -45,8 +45,8 @@
 /** rst_mailbox_close() - Makes all later posts fail, from any thread. */
 void rst_mailbox_close (struct rst_mailbox *mailbox);
 
-/** rst_mailbox_closed() - Whether it was closed. */
-bool rst_mailbox_closed (const struct rst_mailbox *mailbox);
+/** rst_mailbox_is_closed() - Whether it was closed. */
+bool rst_mailbox_is_closed (const struct rst_mailbox *mailbox);
 
 /** rst_mailbox_fd() - The descriptor that becomes readable. */
 int rst_mailbox_fd (const struct rst_mailbox *mailbox);
--- a/src/util/os.c
+++ b/src/util/os.c
@@ -59,7 +59,7 @@
 }
 
 static void
-stop_set (sigset_t *set)
+get_stop_signals (sigset_t *set)
 {
   sigemptyset (set);
   sigaddset (set, SIGTERM);
@@ -71,7 +71,7 @@
 {
   sigset_t set;
 
-  stop_set (&set);
+  get_stop_signals (&set);
   pthread_sigmask (SIG_BLOCK, &set, NULL);
   signal (SIGPIPE, SIG_IGN);
   /* Tells of changed settings; what a running process uses of them stays. */
@@ -79,12 +79,12 @@
 }
 
 int
-rst_os_wait_stop (void)
+rst_os_wait_stop_signal (void)
 {
   sigset_t set;
   int number = 0;
 
-  stop_set (&set);
+  get_stop_signals (&set);
   while (sigwait (&set, &number) != 0)
     continue;
   return number;
@@ -115,7 +115,7 @@
 }
 
 int64_t
-rst_os_cpu_us (void)
+rst_os_cpu_time_us (void)
 {
   struct rusage usage;
 
@@ -126,7 +126,7 @@
 }
 
 int64_t
-rst_os_resident_kb (void)
+rst_os_resident_kib (void)
 {
   long total = 0;
   long resident = 0;
--- a/src/util/os.h
+++ b/src/util/os.h
@@ -52,11 +52,11 @@
 void rst_os_block_signals (void);
 
 /**
- * rst_os_wait_stop() - Waits for SIGTERM or SIGINT.
+ * rst_os_wait_stop_signal() - Waits for SIGTERM or SIGINT.
  *
  * Return: The signal's number.
  */
-int rst_os_wait_stop (void);
+int rst_os_wait_stop_signal (void);
 
 /** rst_os_event_create() - Opens a wake-up descriptor, or returns -1. */
 int rst_os_event_create (void);
@@ -67,10 +67,10 @@
 /** rst_os_event_clear() - Makes a wake-up descriptor unreadable. */
 void rst_os_event_clear (int fd);
 
-/** rst_os_cpu_us() - Processor time of this process in microseconds. */
-int64_t rst_os_cpu_us (void);
+/** rst_os_cpu_time_us() - Processor time of this process in microseconds. */
+int64_t rst_os_cpu_time_us (void);
 
-/** rst_os_resident_kb() - Resident memory of this process in KiB. */
-int64_t rst_os_resident_kb (void);
+/** rst_os_resident_kib() - Resident memory of this process in KiB. */
+int64_t rst_os_resident_kib (void);
 
 #endif
--- a/src/util/program.c
+++ b/src/util/program.c
@@ -27,12 +27,12 @@
   GString *problems = g_string_new ("");
   int status = -1;
 
-  bool sound = rst_conf_load (file, program->fields, program->field_count,
+  bool valid = rst_conf_load (file, program->fields, program->field_count,
                               settings, problems);
 
-  if (sound && program->check != NULL)
-    sound = program->check (settings, problems);
-  if (!sound)
+  if (valid && program->check != NULL)
+    valid = program->check (settings, problems);
+  if (!valid)
     {
       char **lines = g_strsplit (problems->str, "\n", -1);
 
@@ -51,8 +51,8 @@
 }
 
 int
-rst_program_start (const struct rst_program *program, int argc, char **argv,
-                   void *settings)
+rst_program_configure (const struct rst_program *program, int argc,
+                       char **argv, void *settings)
 {
   struct arg_lit *help = arg_lit0 ("h", "help", "show this help");
   struct arg_lit *version = arg_lit0 (NULL, "version", "show the version");
--- a/src/util/program.h
+++ b/src/util/program.h
@@ -32,7 +32,7 @@
 };
 
 /**
- * rst_program_start() - Reads arguments and settings.
+ * rst_program_configure() - Reads arguments and settings.
  * @program: The program.
  * @argc: From main().
  * @argv: From main().
@@ -40,7 +40,7 @@
  *
  * Return: -1 to go on, or the status to exit with.
  */
-int rst_program_start (const struct rst_program *program, int argc,
-                       char **argv, void *settings);
+int rst_program_configure (const struct rst_program *program, int argc,
+                           char **argv, void *settings);
 
 #endif
