--- a/standin/fleet.c
+++ b/standin/fleet.c
@@ -23,13 +23,13 @@
 #include "util/program.h"
 
 /** Time between two looks at what is due. */
-#define TICK_US 1000
+#define TICK_INTERVAL_US 1000
 
 /** Bound on a request's body in bytes. */
-#define BODY_MAX (4 * 1024 * 1024)
+#define BODY_MAX_BYTES (4 * 1024 * 1024)
 
 /** Bound on the call that registers the instances. */
-#define REGISTER_MS 10000
+#define REGISTER_TIMEOUT_MS 10000
 
 struct settings
 {
@@ -37,11 +37,11 @@
   char host[RST_NAME_SIZE];
   char control[RST_ADDRESS_SIZE];
   char list_address[RST_ADDRESS_SIZE];
-  int64_t runners;
+  int64_t runner_count;
   int64_t slots;
   int64_t run_ms;
-  int64_t workers;
-  int64_t cpu;
+  int64_t worker_count;
+  int64_t cpu_milli;
   int64_t memory_mb;
   int64_t accelerators;
   int64_t rack_size;
@@ -50,27 +50,33 @@
 };
 
 static const struct rst_conf_field fields[] = {
-  RST_CONF_TEXT ("availability_zone", RST_CONF_NAME, true, struct settings,
-                 zone),
-  RST_CONF_TEXT ("host", RST_CONF_STRING, true, struct settings, host),
-  RST_CONF_TEXT ("control", RST_CONF_ADDRESS, true, struct settings, control),
-  RST_CONF_TEXT ("list.address", RST_CONF_ADDRESS, true, struct settings,
-                 list_address),
-  RST_CONF_INT ("runners.count", false, struct settings, runners, 0, 1000),
-  RST_CONF_INT ("runners.slots", false, struct settings, slots, 1, 1000),
-  RST_CONF_INT ("runners.run_ms", false, struct settings, run_ms, 0, 60000),
-  RST_CONF_INT ("workers.count", false, struct settings, workers, 0, 1000),
-  RST_CONF_INT ("workers.cpu_milli", false, struct settings, cpu, 1, 1000000),
-  RST_CONF_INT ("workers.memory_mb", false, struct settings, memory_mb, 1,
-                100000000),
-  RST_CONF_INT ("workers.accelerators", false, struct settings, accelerators,
-                0, 1000),
-  RST_CONF_INT ("workers.rack_size", false, struct settings, rack_size, 1,
-                1000),
-  RST_CONF_INT ("workers.usage_percent", false, struct settings, usage_percent,
-                1, 1000),
-  RST_CONF_INT ("workers.usage_lag_ms", false, struct settings, usage_lag_ms,
-                0, 600000),
+  RST_CONF_STRING_FIELD ("availability_zone", RST_CONF_NAME, true,
+                         struct settings, zone),
+  RST_CONF_STRING_FIELD ("host", RST_CONF_STRING, true, struct settings, host),
+  RST_CONF_STRING_FIELD ("control", RST_CONF_ADDRESS, true, struct settings,
+                         control),
+  RST_CONF_STRING_FIELD ("list.address", RST_CONF_ADDRESS, true,
+                         struct settings, list_address),
+  RST_CONF_INTEGER_FIELD ("runners.count", false, struct settings,
+                          runner_count, 0, 1000),
+  RST_CONF_INTEGER_FIELD ("runners.slots", false, struct settings, slots, 1,
+                          1000),
+  RST_CONF_INTEGER_FIELD ("runners.run_ms", false, struct settings, run_ms, 0,
+                          60000),
+  RST_CONF_INTEGER_FIELD ("workers.count", false, struct settings,
+                          worker_count, 0, 1000),
+  RST_CONF_INTEGER_FIELD ("workers.cpu_milli", false, struct settings,
+                          cpu_milli, 1, 1000000),
+  RST_CONF_INTEGER_FIELD ("workers.memory_mb", false, struct settings,
+                          memory_mb, 1, 100000000),
+  RST_CONF_INTEGER_FIELD ("workers.accelerators", false, struct settings,
+                          accelerators, 0, 1000),
+  RST_CONF_INTEGER_FIELD ("workers.rack_size", false, struct settings,
+                          rack_size, 1, 1000),
+  RST_CONF_INTEGER_FIELD ("workers.usage_percent", false, struct settings,
+                          usage_percent, 1, 1000),
+  RST_CONF_INTEGER_FIELD ("workers.usage_lag_ms", false, struct settings,
+                          usage_lag_ms, 0, 600000),
 };
 
 static const struct rst_program program = {
@@ -94,8 +100,8 @@
   struct rst_http_request *request;
   char *id;
   char *team;
-  rst_ms due;
-  CK_LIST_ENTRY (run) entry;
+  rst_ms ends_at;
+  CK_LIST_ENTRY (run) list_entry;
 };
 
 struct task
@@ -105,19 +111,19 @@
   const char *state;
   rst_ms started_at;
   rst_ms ends_at;
-  rst_ms lease_until;
-  int64_t rate_percent;
+  rst_ms lease_expires_at;
+  int64_t speed_percent;
 };
 
 struct instance
 {
   char name[RST_NAME_SIZE];
   char rack[RST_NAME_SIZE];
-  bool worker;
+  bool is_worker;
   enum fault fault;
   struct rst_http_server *server;
   uint64_t epoch;
-  int64_t running;
+  int64_t run_count;
   CK_LIST_HEAD (run_list, run) runs;
   GHashTable *tasks;
   GHashTable *tombstones;
@@ -130,15 +136,15 @@
   struct instance *instances;
   int count;
   struct rst_http_server *control;
-  GHashTable *ran;
-  GHashTable *task_starts;
+  GHashTable *executed_ids;
+  GHashTable *task_start_counts;
   int64_t runs;
-  int64_t overcommitted;
-  int64_t doubled;
-  int64_t fenced;
+  int64_t overcommit_count;
+  int64_t duplicate_runs;
+  int64_t fenced_calls;
   int64_t started_tasks;
   int64_t ended_tasks;
-  atomic_bool stop;
+  atomic_bool stop_requested;
 } fleet = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
 /* ---- Runners
@@ -149,7 +155,7 @@
 {
   if (epoch < instance->epoch)
     {
-      fleet.fenced++;
+      fleet.fenced_calls++;
       return true;
     }
   instance->epoch = epoch;
@@ -157,60 +163,61 @@
 }
 
 static void
-note_run (const char *id, bool idempotent)
+record_query_run (const char *id, bool idempotent)
 {
   fleet.runs++;
   if (idempotent)
     return;
-  if (!g_hash_table_add (fleet.ran, g_strdup (id)))
-    fleet.doubled++;
+  if (!g_hash_table_add (fleet.executed_ids, g_strdup (id)))
+    fleet.duplicate_runs++;
 }
 
 static rst_ms
-run_time (struct rst_http_request *request)
+get_run_time (struct rst_http_request *request)
 {
-  struct json_object *body = rst_json_parse (rst_http_body (request, NULL));
-  rst_ms time = rst_json_number (body, "run_ms", fleet.settings.run_ms);
+  struct json_object *body
+      = rst_json_parse (rst_http_request_body (request, NULL));
+  rst_ms time = rst_json_get_number (body, "run_ms", fleet.settings.run_ms);
 
   json_object_put (body);
   return time;
 }
 
 static void
-serve_run (struct instance *instance, struct rst_http_request *request)
+handle_query (struct instance *instance, struct rst_http_request *request)
 {
-  const char *epoch = rst_http_header (request, "X-Epoch");
-  const char *id = rst_http_header (request, "X-Request-Id");
-  const char *team = rst_http_header (request, "X-Team");
-  const char *idempotent = rst_http_header (request, "X-Idempotent");
+  const char *epoch = rst_http_request_header (request, "X-Epoch");
+  const char *id = rst_http_request_header (request, "X-Request-Id");
+  const char *team = rst_http_request_header (request, "X-Team");
+  const char *idempotent = rst_http_request_header (request, "X-Idempotent");
   struct run *run;
 
   if (epoch == NULL || id == NULL || team == NULL)
-    rst_http_reply_text (request, 400, "{}");
+    rst_http_request_reply_json (request, 400, "{}");
   else if (epoch_is_stale (instance, g_ascii_strtoull (epoch, NULL, 10)))
-    rst_http_reply_text (request, 412, "{}");
+    rst_http_request_reply_json (request, 412, "{}");
   else if (instance->fault == FAULT_FAIL)
-    rst_http_reply_text (request, 503, "{}");
+    rst_http_request_reply_json (request, 503, "{}");
   else
     {
-      if (instance->running >= fleet.settings.slots)
-        fleet.overcommitted++;
-      note_run (id, g_strcmp0 (idempotent, "true") == 0);
+      if (instance->run_count >= fleet.settings.slots)
+        fleet.overcommit_count++;
+      record_query_run (id, g_strcmp0 (idempotent, "true") == 0);
       run = g_new0 (struct run, 1);
       run->request = request;
       run->id = g_strdup (id);
       run->team = g_strdup (team);
-      run->due = rst_os_now () + run_time (request);
-      instance->running++;
-      CK_LIST_INSERT_HEAD (&instance->runs, run, entry);
+      run->ends_at = rst_os_now () + get_run_time (request);
+      instance->run_count++;
+      CK_LIST_INSERT_HEAD (&instance->runs, run, list_entry);
     }
 }
 
 static void
-answer_run (struct instance *instance, struct run *run)
+reply_to_query (struct instance *instance, struct run *run)
 {
   size_t length;
-  const char *body = rst_http_body (run->request, &length);
+  const char *body = rst_http_request_body (run->request, &length);
   GString *text = g_string_new ("");
 
   g_string_append_printf (text,
@@ -218,24 +225,24 @@
   g_string_append_len (text, length > 0 ? body : "null",
                        length > 0 ? (gssize)length : 4);
   g_string_append (text, "}");
-  rst_http_reply (run->request, 200, NULL, text->str, text->len, 0);
+  rst_http_request_reply (run->request, 200, NULL, text->str, text->len, 0);
   g_string_free (text, TRUE);
 }
 
 static void
-end_runs (struct instance *instance, rst_ms now)
+finish_due_runs (struct instance *instance, rst_ms now)
 {
   struct run *run = CK_LIST_FIRST (&instance->runs);
 
   while (run != NULL)
     {
-      struct run *next = CK_LIST_NEXT (run, entry);
+      struct run *next = CK_LIST_NEXT (run, list_entry);
 
-      if (now >= run->due && instance->fault != FAULT_SILENT)
+      if (now >= run->ends_at && instance->fault != FAULT_SILENT)
         {
-          CK_LIST_REMOVE (run, entry);
-          instance->running--;
-          answer_run (instance, run);
+          CK_LIST_REMOVE (run, list_entry);
+          instance->run_count--;
+          reply_to_query (instance, run);
           g_free (run->id);
           g_free (run->team);
           g_free (run);
@@ -264,7 +271,7 @@
 }
 
 static int64_t
-in_use (const struct instance *instance, const char *resource)
+get_allocated (const struct instance *instance, const char *resource)
 {
   int64_t sum = 0;
   GHashTableIter iterator;
@@ -273,84 +280,88 @@
   g_hash_table_iter_init (&iterator, instance->tasks);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     if (is_running (value))
-      sum += rst_json_number (((struct task *)value)->spec, resource, 0);
+      sum += rst_json_get_number (((struct task *)value)->spec, resource, 0);
   return sum;
 }
 
 static void
-check_overcommit (const struct instance *instance)
+count_overcommit (const struct instance *instance)
 {
-  if (in_use (instance, "cpu_milli") > fleet.settings.cpu
-      || in_use (instance, "memory_mb") > fleet.settings.memory_mb
-      || in_use (instance, "accelerators") > fleet.settings.accelerators)
-    fleet.overcommitted++;
+  if (get_allocated (instance, "cpu_milli") > fleet.settings.cpu_milli
+      || get_allocated (instance, "memory_mb") > fleet.settings.memory_mb
+      || get_allocated (instance, "accelerators")
+             > fleet.settings.accelerators)
+    fleet.overcommit_count++;
 }
 
 static void
-count_start (struct json_object *spec)
+count_task_start (struct json_object *spec)
 {
-  char *key
-      = g_strdup_printf ("%s.%" G_GINT64_FORMAT, rst_json_text (spec, "job"),
-                         rst_json_number (spec, "index", 0));
-  int count = GPOINTER_TO_INT (g_hash_table_lookup (fleet.task_starts, key));
+  char *key = g_strdup_printf ("%s.%" G_GINT64_FORMAT,
+                               rst_json_get_text (spec, "job"),
+                               rst_json_get_number (spec, "index", 0));
+  int count
+      = GPOINTER_TO_INT (g_hash_table_lookup (fleet.task_start_counts, key));
 
-  g_hash_table_insert (fleet.task_starts, key, GINT_TO_POINTER (count + 1));
+  g_hash_table_insert (fleet.task_start_counts, key,
+                       GINT_TO_POINTER (count + 1));
   fleet.started_tasks++;
 }
 
 static void
-add_task (struct instance *instance, const char *id, struct json_object *body)
+start_task (struct instance *instance, const char *id,
+            struct json_object *body)
 {
   struct task *task = g_new0 (struct task, 1);
   rst_ms now = rst_os_now ();
-  rst_ms run_ms = rst_json_number (body, "run_ms", 0);
+  rst_ms run_ms = rst_json_get_number (body, "run_ms", 0);
 
   task->id = g_strdup (id);
   task->spec = json_object_get (body);
   task->state = "running";
   task->started_at = now;
   task->ends_at = run_ms > 0 ? now + run_ms : INT64_MAX;
-  task->lease_until = now + rst_json_number (body, "lease_ms", 1000);
-  task->rate_percent = 100;
+  task->lease_expires_at = now + rst_json_get_number (body, "lease_ms", 1000);
+  task->speed_percent = 100;
   if (instance->fault == FAULT_FAIL)
     task->ends_at = now;
   g_hash_table_insert (instance->tasks, task->id, task);
-  count_start (body);
-  check_overcommit (instance);
+  count_task_start (body);
+  count_overcommit (instance);
 }
 
 static void
-serve_start (struct instance *instance, struct rst_http_request *request,
-             struct json_object *body)
+handle_start (struct instance *instance, struct rst_http_request *request,
+              struct json_object *body)
 {
-  const char *id = rst_json_text (body, "id");
+  const char *id = rst_json_get_text (body, "id");
 
-  if (id == NULL || rst_json_text (body, "job") == NULL)
-    rst_http_reply_text (request, 400, "{}");
+  if (id == NULL || rst_json_get_text (body, "job") == NULL)
+    rst_http_request_reply_json (request, 400, "{}");
   else if (g_hash_table_contains (instance->tombstones, id))
-    rst_http_reply_text (request, 409, "{}");
+    rst_http_request_reply_json (request, 409, "{}");
   else
     {
       if (!g_hash_table_contains (instance->tasks, id))
-        add_task (instance, id, body);
-      rst_http_reply_text (request, 200, "{}");
+        start_task (instance, id, body);
+      rst_http_request_reply_json (request, 200, "{}");
     }
 }
 
 /* What usage looked like some time ago. */
 static int64_t
-lagging_usage (const struct task *task, const char *resource)
+get_reported_usage (const struct task *task, const char *resource)
 {
   rst_ms age = rst_os_now () - task->started_at;
 
   if (age < fleet.settings.usage_lag_ms)
     return 0;
-  return rst_json_number (task->spec, resource, 0)
+  return rst_json_get_number (task->spec, resource, 0)
          * fleet.settings.usage_percent / 100;
 }
 
 static struct json_object *
-task_json (const struct task *task)
+task_to_json (const struct task *task)
 {
   static const char *const texts[] = { "id", "team", "job", "owner" };
   static const char *const numbers[]
@@ -359,21 +370,22 @@
   struct json_object *item = json_object_new_object ();
 
   for (size_t i = 0; i < G_N_ELEMENTS (texts); i++)
-    if (rst_json_text (task->spec, texts[i]) != NULL)
-      rst_json_set_text (item, texts[i], rst_json_text (task->spec, texts[i]));
+    if (rst_json_get_text (task->spec, texts[i]) != NULL)
+      rst_json_set_text (item, texts[i],
+                         rst_json_get_text (task->spec, texts[i]));
   for (size_t i = 0; i < G_N_ELEMENTS (numbers); i++)
     rst_json_set_number (item, numbers[i],
-                         rst_json_number (task->spec, numbers[i], 0));
+                         rst_json_get_number (task->spec, numbers[i], 0));
   rst_json_set_text (item, "state", task->state);
   rst_json_set_number (item, "usage_cpu_milli",
-                       lagging_usage (task, "cpu_milli"));
+                       get_reported_usage (task, "cpu_milli"));
   rst_json_set_number (item, "usage_memory_mb",
-                       lagging_usage (task, "memory_mb"));
+                       get_reported_usage (task, "memory_mb"));
   return item;
 }
 
 static struct json_object *
-run_json (const struct run *run)
+run_to_json (const struct run *run)
 {
   struct json_object *item = json_object_new_object ();
 
@@ -384,8 +396,8 @@
 }
 
 static void
-reply_work (struct instance *instance, struct rst_http_request *request,
-            const char *only)
+reply_runs (struct instance *instance, struct rst_http_request *request,
+            const char *only_id)
 {
   struct json_object *root = json_object_new_object ();
   struct json_object *list = json_object_new_array ();
@@ -396,22 +408,22 @@
 
   g_hash_table_iter_init (&iterator, instance->tasks);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
-    if (only == NULL || strcmp (((struct task *)value)->id, only) == 0)
-      json_object_array_add (list, task_json (value));
-  CK_LIST_FOREACH (run, &instance->runs, entry)
-  json_object_array_add (list, run_json (run));
+    if (only_id == NULL || strcmp (((struct task *)value)->id, only_id) == 0)
+      json_object_array_add (list, task_to_json (value));
+  CK_LIST_FOREACH (run, &instance->runs, list_entry)
+  json_object_array_add (list, run_to_json (run));
   json_object_object_add (root, "work", list);
-  text = rst_json_release (root);
-  rst_http_reply_text (request, 200, text);
+  text = rst_json_format_and_release (root);
+  rst_http_request_reply_json (request, 200, text);
   free (text);
 }
 
 static void
-serve_renew (struct instance *instance, struct rst_http_request *request,
-             struct json_object *body)
+handle_renew (struct instance *instance, struct rst_http_request *request,
+              struct json_object *body)
 {
-  struct json_object *seen = rst_json_array (body, "seen");
-  rst_ms until = rst_os_now () + rst_json_number (body, "lease_ms", 0);
+  struct json_object *seen = rst_json_get_array (body, "seen");
+  rst_ms until = rst_os_now () + rst_json_get_number (body, "lease_ms", 0);
   GHashTableIter iterator;
   gpointer value;
 
@@ -421,62 +433,64 @@
         json_object_get_string (json_object_array_get_idx (seen, i)));
   g_hash_table_iter_init (&iterator, instance->tasks);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
-    ((struct task *)value)->lease_until = until;
-  reply_work (instance, request, NULL);
+    ((struct task *)value)->lease_expires_at = until;
+  reply_runs (instance, request, NULL);
 }
 
 static void
-serve_stop (struct instance *instance, struct rst_http_request *request,
-            struct json_object *body)
+handle_stop (struct instance *instance, struct rst_http_request *request,
+             struct json_object *body)
 {
-  const char *id = rst_json_text (body, "id");
+  const char *id = rst_json_get_text (body, "id");
   struct task *task
       = id != NULL ? g_hash_table_lookup (instance->tasks, id) : NULL;
 
   if (id == NULL)
-    rst_http_reply_text (request, 400, "{}");
+    rst_http_request_reply_json (request, 400, "{}");
   else if (task == NULL)
     {
       /* A start under this id that arrives later is refused. */
       g_hash_table_add (instance->tombstones, g_strdup (id));
-      rst_http_reply_text (request, 404, "{}");
+      rst_http_request_reply_json (request, 404, "{}");
     }
   else
     {
       if (is_running (task))
         {
-          task->state = rst_json_bool (body, "checkpoint", false) ? "moved"
-                                                                  : "stopped";
+          task->state = rst_json_get_bool (body, "checkpoint", false)
+                            ? "moved"
+                            : "stopped";
           fleet.ended_tasks++;
         }
-      reply_work (instance, request, id);
+      reply_runs (instance, request, id);
     }
 }
 
 /* Slows a task down: what is left takes longer. */
 static void
-serve_throttle (struct instance *instance, struct rst_http_request *request,
-                struct json_object *body)
+handle_throttle (struct instance *instance, struct rst_http_request *request,
+                 struct json_object *body)
 {
-  const char *id = rst_json_text (body, "id");
-  int64_t percent = rst_json_number (body, "percent", 100);
+  const char *id = rst_json_get_text (body, "id");
+  int64_t percent = rst_json_get_number (body, "percent", 100);
   struct task *task
       = id != NULL ? g_hash_table_lookup (instance->tasks, id) : NULL;
   rst_ms now = rst_os_now ();
 
   if (task == NULL || percent < 1 || percent > 100)
     {
-      rst_http_reply_text (request, 404, "{}");
+      rst_http_request_reply_json (request, 404, "{}");
       return;
     }
   if (task->ends_at != INT64_MAX)
-    task->ends_at = now + (task->ends_at - now) * task->rate_percent / percent;
-  task->rate_percent = percent;
-  rst_http_reply_text (request, 200, "{}");
+    task->ends_at
+        = now + (task->ends_at - now) * task->speed_percent / percent;
+  task->speed_percent = percent;
+  rst_http_request_reply_json (request, 200, "{}");
 }
 
 static void
-end_tasks (struct instance *instance, rst_ms now)
+finish_due_tasks (struct instance *instance, rst_ms now)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -488,7 +502,7 @@
 
       if (!is_running (task))
         continue;
-      if (now >= task->lease_until)
+      if (now >= task->lease_expires_at)
         {
           fleet.ended_tasks++;
           g_hash_table_iter_remove (&iterator);
@@ -505,46 +519,47 @@
  * --------------------------------------------------------------------- */
 
 static void
-serve_command (struct instance *instance, struct rst_http_request *request)
+handle_command (struct instance *instance, struct rst_http_request *request)
 {
-  const char *path = rst_http_path (request);
-  struct json_object *body = rst_json_parse (rst_http_body (request, NULL));
-  uint64_t epoch = (uint64_t)rst_json_number (body, "epoch", 0);
+  const char *path = rst_http_request_path (request);
+  struct json_object *body
+      = rst_json_parse (rst_http_request_body (request, NULL));
+  uint64_t epoch = (uint64_t)rst_json_get_number (body, "epoch", 0);
 
   if (epoch_is_stale (instance, epoch))
-    rst_http_reply_text (request, 412, "{}");
+    rst_http_request_reply_json (request, 412, "{}");
   else if (strcmp (path, "/v1/inspect") == 0)
-    reply_work (instance, request, NULL);
+    reply_runs (instance, request, NULL);
   else if (strcmp (path, "/v1/tasks") == 0)
-    serve_start (instance, request, body);
+    handle_start (instance, request, body);
   else if (strcmp (path, "/v1/renew") == 0)
-    serve_renew (instance, request, body);
+    handle_renew (instance, request, body);
   else if (strcmp (path, "/v1/stop") == 0)
-    serve_stop (instance, request, body);
+    handle_stop (instance, request, body);
   else if (strcmp (path, "/v1/throttle") == 0)
-    serve_throttle (instance, request, body);
+    handle_throttle (instance, request, body);
   else
-    rst_http_reply_text (request, 404, "{}");
+    rst_http_request_reply_json (request, 404, "{}");
   json_object_put (body);
 }
 
 static void
-serve_instance (struct rst_http_request *request, void *userdata)
+handle_instance_request (struct rst_http_request *request, void *userdata)
 {
   struct instance *instance = userdata;
 
   pthread_mutex_lock (&fleet.lock);
   if (instance->fault == FAULT_SILENT)
-    rst_http_drop (request);
-  else if (strcmp (rst_http_path (request), "/v1/run") == 0)
-    serve_run (instance, request);
+    rst_http_request_abort (request);
+  else if (strcmp (rst_http_request_path (request), "/v1/run") == 0)
+    handle_query (instance, request);
   else
-    serve_command (instance, request);
+    handle_command (instance, request);
   pthread_mutex_unlock (&fleet.lock);
 }
 
 static void
-reply_account (struct rst_http_request *request)
+reply_counters (struct rst_http_request *request)
 {
   struct json_object *root = json_object_new_object ();
   struct json_object *starts = json_object_new_object ();
@@ -554,40 +569,40 @@
   char *text;
 
   rst_json_set_number (root, "runs", fleet.runs);
-  rst_json_set_number (root, "overcommitted", fleet.overcommitted);
-  rst_json_set_number (root, "doubled", fleet.doubled);
-  rst_json_set_number (root, "fenced", fleet.fenced);
+  rst_json_set_number (root, "overcommitted", fleet.overcommit_count);
+  rst_json_set_number (root, "doubled", fleet.duplicate_runs);
+  rst_json_set_number (root, "fenced", fleet.fenced_calls);
   rst_json_set_number (root, "started_tasks", fleet.started_tasks);
   rst_json_set_number (root, "ended_tasks", fleet.ended_tasks);
-  g_hash_table_iter_init (&iterator, fleet.task_starts);
+  g_hash_table_iter_init (&iterator, fleet.task_start_counts);
   while (g_hash_table_iter_next (&iterator, &key, &value))
     rst_json_set_number (starts, key, GPOINTER_TO_INT (value));
   json_object_object_add (root, "task_starts", starts);
-  text = rst_json_release (root);
-  rst_http_reply_text (request, 200, text);
+  text = rst_json_format_and_release (root);
+  rst_http_request_reply_json (request, 200, text);
   free (text);
 }
 
 /* Ids of the queries that ran and must run once, a line each. */
 static void
-reply_ran (struct rst_http_request *request)
+reply_executed_ids (struct rst_http_request *request)
 {
   GString *text = g_string_new ("");
   GHashTableIter iterator;
   gpointer key;
 
-  g_hash_table_iter_init (&iterator, fleet.ran);
+  g_hash_table_iter_init (&iterator, fleet.executed_ids);
   while (g_hash_table_iter_next (&iterator, &key, NULL))
     g_string_append_printf (text, "%s\n", (const char *)key);
-  rst_http_reply (request, 200, "text/plain", text->str, text->len, 0);
+  rst_http_request_reply (request, 200, "text/plain", text->str, text->len, 0);
   g_string_free (text, TRUE);
 }
 
 static void
 set_fault (struct rst_http_request *request)
 {
-  const char *name = rst_http_query (request, "name");
-  const char *mode = rst_http_query (request, "mode");
+  const char *name = rst_http_request_query (request, "name");
+  const char *mode = rst_http_request_query (request, "mode");
 
   for (int i = 0; i < fleet.count; i++)
     if (g_strcmp0 (fleet.instances[i].name, name) == 0)
@@ -595,42 +610,42 @@
                                  : g_strcmp0 (mode, "silent") == 0
                                      ? FAULT_SILENT
                                      : FAULT_NONE;
-  rst_http_reply_text (request, 200, "{}");
+  rst_http_request_reply_json (request, 200, "{}");
 }
 
 static void
-serve_control (struct rst_http_request *request, void *userdata)
+handle_control_request (struct rst_http_request *request, void *userdata)
 {
-  const char *path = rst_http_path (request);
+  const char *path = rst_http_request_path (request);
 
   (void)userdata;
   pthread_mutex_lock (&fleet.lock);
   if (strcmp (path, "/account") == 0)
-    reply_account (request);
+    reply_counters (request);
   else if (strcmp (path, "/ran") == 0)
-    reply_ran (request);
+    reply_executed_ids (request);
   else if (strcmp (path, "/faults") == 0)
     set_fault (request);
   else
-    rst_http_reply_text (request, 404, "{}");
+    rst_http_request_reply_json (request, 404, "{}");
   pthread_mutex_unlock (&fleet.lock);
 }
 
 static void *
 tick_main (void *userdata)
 {
-  while (!atomic_load (&fleet.stop))
+  while (!atomic_load (&fleet.stop_requested))
     {
       rst_ms now = rst_os_now ();
 
       pthread_mutex_lock (&fleet.lock);
       for (int i = 0; i < fleet.count; i++)
         {
-          end_runs (&fleet.instances[i], now);
-          end_tasks (&fleet.instances[i], now);
+          finish_due_runs (&fleet.instances[i], now);
+          finish_due_tasks (&fleet.instances[i], now);
         }
       pthread_mutex_unlock (&fleet.lock);
-      usleep (TICK_US);
+      usleep (TICK_INTERVAL_US);
     }
   return userdata;
 }
@@ -640,34 +655,34 @@
  */
 
 static bool
-start_instance (struct instance *instance, bool worker, int number)
+start_instance (struct instance *instance, bool is_worker, int number)
 {
   struct rst_http_server_config config = { 0 };
   char address[RST_ADDRESS_SIZE];
 
   g_snprintf (instance->name, RST_NAME_SIZE, "%s-%s%d", fleet.settings.zone,
-              worker ? "w" : "r", number);
+              is_worker ? "w" : "r", number);
   g_snprintf (instance->rack, RST_NAME_SIZE, "%s-rack%d", fleet.settings.zone,
               (int)(number / fleet.settings.rack_size));
   g_snprintf (address, sizeof address, "%s:0", fleet.settings.host);
-  instance->worker = worker;
+  instance->is_worker = is_worker;
   instance->tasks
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, task_free);
   instance->tombstones
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   CK_LIST_INIT (&instance->runs);
   config.address = address;
-  config.max_body = BODY_MAX;
+  config.max_body_bytes = BODY_MAX_BYTES;
   config.max_connections = 1024;
   config.idle_timeout_s = 60;
-  config.handler = serve_instance;
+  config.handler = handle_instance_request;
   config.userdata = instance;
   return rst_http_server_create (&config, &instance->server)
          == RST_TRANSPORT_OK;
 }
 
 static struct json_object *
-instance_json (const struct instance *instance)
+instance_to_json (const struct instance *instance)
 {
   const struct settings *s = &fleet.settings;
   struct json_object *item = json_object_new_object ();
@@ -675,13 +690,13 @@
   rst_json_set_text (item, "name", instance->name);
   rst_json_set_text (item, "availability_zone", s->zone);
   rst_json_set_text (item, "rack", instance->rack);
-  rst_json_set_text (item, "kind", instance->worker ? "worker" : "runner");
+  rst_json_set_text (item, "kind", instance->is_worker ? "worker" : "runner");
   rst_json_set_text (item, "address",
                      rst_http_server_address (instance->server));
   rst_json_set_text (item, "state", "live");
-  if (instance->worker)
+  if (instance->is_worker)
     {
-      rst_json_set_number (item, "cpu_milli", s->cpu);
+      rst_json_set_number (item, "cpu_milli", s->cpu_milli);
       rst_json_set_number (item, "memory_mb", s->memory_mb);
       rst_json_set_number (item, "accelerators", s->accelerators);
     }
@@ -691,46 +706,47 @@
 }
 
 static bool
-register_all (void)
+register_instances (void)
 {
   struct json_object *list = json_object_new_array ();
-  GString *answer = g_string_new ("");
+  GString *response = g_string_new ("");
   char url[256];
   char *text;
   int status = 0;
   int error;
 
   for (int i = 0; i < fleet.count; i++)
-    json_object_array_add (list, instance_json (&fleet.instances[i]));
-  text = rst_json_release (list);
+    json_object_array_add (list, instance_to_json (&fleet.instances[i]));
+  text = rst_json_format_and_release (list);
   g_snprintf (url, sizeof url, "http://%s/v1/instances",
               fleet.settings.list_address);
-  error = rst_http_sync ("POST", url, text, REGISTER_MS, &status, answer);
-  g_string_free (answer, TRUE);
+  error = rst_http_sync_request ("POST", url, text, REGISTER_TIMEOUT_MS,
+                                 &status, response);
+  g_string_free (response, TRUE);
   free (text);
   return error == RST_TRANSPORT_OK && status == 200;
 }
 
 static bool
-start_all (void)
+start_servers (void)
 {
   struct rst_http_server_config control = { 0 };
-  int runners = (int)fleet.settings.runners;
-  int workers = (int)fleet.settings.workers;
+  int runner_count = (int)fleet.settings.runner_count;
+  int worker_count = (int)fleet.settings.worker_count;
 
-  fleet.instances
-      = g_new0 (struct instance, (gsize)runners + (gsize)workers + 1);
-  for (int i = 0; i < runners; i++)
+  fleet.instances = g_new0 (struct instance,
+                            (gsize)runner_count + (gsize)worker_count + 1);
+  for (int i = 0; i < runner_count; i++)
     if (!start_instance (&fleet.instances[fleet.count++], false, i))
       return false;
-  for (int i = 0; i < workers; i++)
+  for (int i = 0; i < worker_count; i++)
     if (!start_instance (&fleet.instances[fleet.count++], true, i))
       return false;
   control.address = fleet.settings.control;
-  control.max_body = BODY_MAX;
+  control.max_body_bytes = BODY_MAX_BYTES;
   control.max_connections = 64;
   control.idle_timeout_s = 60;
-  control.handler = serve_control;
+  control.handler = handle_control_request;
   return rst_http_server_create (&control, &fleet.control) == RST_TRANSPORT_OK;
 }
 
@@ -739,35 +755,37 @@
 {
   struct settings *s = &fleet.settings;
   pthread_t thread;
-  int early;
+  int exit_status;
 
   s->slots = 8;
   s->run_ms = 5;
-  s->cpu = 16000;
+  s->cpu_milli = 16000;
   s->memory_mb = 65536;
   s->rack_size = 8;
   s->usage_percent = 100;
-  early = rst_program_start (&program, argc, argv, s);
-  if (early >= 0)
-    return early;
+  exit_status = rst_program_configure (&program, argc, argv, s);
+  if (exit_status >= 0)
+    return exit_status;
   rst_os_block_signals ();
-  fleet.ran = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  fleet.task_starts
+  fleet.executed_ids
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  fleet.task_start_counts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  if (!start_all () || pthread_create (&thread, NULL, tick_main, NULL) != 0)
+  if (!start_servers ()
+      || pthread_create (&thread, NULL, tick_main, NULL) != 0)
     {
       fprintf (stderr, "%s: host: address cannot be used\n", program.name);
       return EXIT_FAILURE;
     }
-  if (!register_all ())
+  if (!register_instances ())
     {
       fprintf (stderr, "%s: list.address: cannot be reached\n", program.name);
       return EXIT_FAILURE;
     }
   printf ("ready http=%s\n", rst_http_server_address (fleet.control));
   fflush (stdout);
-  rst_os_wait_stop ();
-  atomic_store (&fleet.stop, true);
+  rst_os_wait_stop_signal ();
+  atomic_store (&fleet.stop_requested, true);
   pthread_join (thread, NULL);
   for (int i = 0; i < fleet.count; i++)
     rst_http_server_destroy (fleet.instances[i].server);
--- a/standin/list.c
+++ b/standin/list.c
@@ -19,7 +19,7 @@
 #include "util/program.h"
 
 /** Bound on a request's body in bytes. */
-#define BODY_MAX (4 * 1024 * 1024)
+#define BODY_MAX_BYTES (4 * 1024 * 1024)
 
 struct settings
 {
@@ -28,8 +28,9 @@
 };
 
 static const struct rst_conf_field fields[] = {
-  RST_CONF_TEXT ("listen", RST_CONF_ADDRESS, true, struct settings, listen),
-  RST_CONF_INT ("lag_ms", false, struct settings, lag_ms, 0, 600000),
+  RST_CONF_STRING_FIELD ("listen", RST_CONF_ADDRESS, true, struct settings,
+                         listen),
+  RST_CONF_INTEGER_FIELD ("lag_ms", false, struct settings, lag_ms, 0, 600000),
 };
 
 static const struct rst_program program = {
@@ -45,7 +46,7 @@
   char *name;
   struct json_object *instance;
   char *state;
-  CK_STAILQ_ENTRY (change) entry;
+  CK_STAILQ_ENTRY (change) list_entry;
 };
 
 static struct
@@ -54,7 +55,7 @@
   GHashTable *instances;
   uint64_t revision;
   rst_ms lag_ms;
-  CK_STAILQ_HEAD (change_queue, change) changes;
+  CK_STAILQ_HEAD (change_queue, change) pending_changes;
 } list = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
 static void
@@ -64,7 +65,8 @@
 }
 
 static void
-add_change (const char *name, struct json_object *instance, const char *state)
+queue_change (const char *name, struct json_object *instance,
+              const char *state)
 {
   struct change *change = g_new0 (struct change, 1);
 
@@ -72,11 +74,11 @@
   change->name = g_strdup (name);
   change->instance = instance;
   change->state = g_strdup (state);
-  CK_STAILQ_INSERT_TAIL (&list.changes, change, entry);
+  CK_STAILQ_INSERT_TAIL (&list.pending_changes, change, list_entry);
 }
 
 static void
-apply (struct change *change)
+apply_change (struct change *change)
 {
   struct json_object *instance;
 
@@ -98,16 +100,16 @@
 }
 
 static void
-apply_due (void)
+apply_due_changes (void)
 {
   rst_ms now = rst_os_now ();
   struct change *change;
 
-  while ((change = CK_STAILQ_FIRST (&list.changes)) != NULL
+  while ((change = CK_STAILQ_FIRST (&list.pending_changes)) != NULL
          && now >= change->visible_at)
     {
-      CK_STAILQ_REMOVE_HEAD (&list.changes, entry);
-      apply (change);
+      CK_STAILQ_REMOVE_HEAD (&list.pending_changes, list_entry);
+      apply_change (change);
       g_free (change->name);
       g_free (change->state);
       g_free (change);
@@ -115,11 +117,11 @@
 }
 
 static void
-serve_get (struct rst_http_request *request)
+handle_list (struct rst_http_request *request)
 {
   struct json_object *root = json_object_new_object ();
   struct json_object *items = json_object_new_array ();
-  const char *after = rst_http_query (request, "after");
+  const char *after = rst_http_request_query (request, "after");
   GHashTableIter iterator;
   gpointer value;
   char *text;
@@ -132,62 +134,63 @@
         json_object_array_add (items, json_object_get (value));
     }
   json_object_object_add (root, "instances", items);
-  text = rst_json_release (root);
-  rst_http_reply_text (request, 200, text);
+  text = rst_json_format_and_release (root);
+  rst_http_request_reply_json (request, 200, text);
   free (text);
 }
 
 static void
-serve_register (struct rst_http_request *request)
+handle_register (struct rst_http_request *request)
 {
-  struct json_object *items = rst_json_parse (rst_http_body (request, NULL));
+  struct json_object *items
+      = rst_json_parse (rst_http_request_body (request, NULL));
 
   for (size_t i = 0; json_object_is_type (items, json_type_array)
                      && i < json_object_array_length (items);
        i++)
     {
       struct json_object *item = json_object_array_get_idx (items, i);
-      const char *name = rst_json_text (item, "name");
+      const char *name = rst_json_get_text (item, "name");
 
       if (name != NULL)
-        add_change (name, json_object_get (item), "live");
+        queue_change (name, json_object_get (item), "live");
     }
   json_object_put (items);
-  rst_http_reply_text (request, 200, "{}");
+  rst_http_request_reply_json (request, 200, "{}");
 }
 
 static void
-serve_state (struct rst_http_request *request)
+handle_state (struct rst_http_request *request)
 {
-  const char *name = rst_http_query (request, "name");
-  const char *state = rst_http_query (request, "state");
+  const char *name = rst_http_request_query (request, "name");
+  const char *state = rst_http_request_query (request, "state");
 
   if (name == NULL || state == NULL)
     {
-      rst_http_reply_text (request, 400, "{}");
+      rst_http_request_reply_json (request, 400, "{}");
       return;
     }
-  add_change (name, NULL, state);
-  rst_http_reply_text (request, 200, "{}");
+  queue_change (name, NULL, state);
+  rst_http_request_reply_json (request, 200, "{}");
 }
 
 static void
-serve (struct rst_http_request *request, void *userdata)
+handle_request (struct rst_http_request *request, void *userdata)
 {
-  const char *path = rst_http_path (request);
-  bool get = strcmp (rst_http_method (request), "GET") == 0;
+  const char *path = rst_http_request_path (request);
+  bool is_get = strcmp (rst_http_request_method (request), "GET") == 0;
 
   (void)userdata;
   pthread_mutex_lock (&list.lock);
-  apply_due ();
-  if (strcmp (path, "/v1/instances") == 0 && get)
-    serve_get (request);
+  apply_due_changes ();
+  if (strcmp (path, "/v1/instances") == 0 && is_get)
+    handle_list (request);
   else if (strcmp (path, "/v1/instances") == 0)
-    serve_register (request);
+    handle_register (request);
   else if (strcmp (path, "/v1/state") == 0)
-    serve_state (request);
+    handle_state (request);
   else
-    rst_http_reply_text (request, 404, "{}");
+    rst_http_request_reply_json (request, 404, "{}");
   pthread_mutex_unlock (&list.lock);
 }
 
@@ -197,20 +200,20 @@
   struct settings settings = { "", 0 };
   struct rst_http_server_config config = { 0 };
   struct rst_http_server *server;
-  int early = rst_program_start (&program, argc, argv, &settings);
+  int exit_status = rst_program_configure (&program, argc, argv, &settings);
 
-  if (early >= 0)
-    return early;
+  if (exit_status >= 0)
+    return exit_status;
   rst_os_block_signals ();
   list.instances
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, instance_free);
   list.lag_ms = settings.lag_ms;
-  CK_STAILQ_INIT (&list.changes);
+  CK_STAILQ_INIT (&list.pending_changes);
   config.address = settings.listen;
-  config.max_body = BODY_MAX;
+  config.max_body_bytes = BODY_MAX_BYTES;
   config.max_connections = 1000;
   config.idle_timeout_s = 120;
-  config.handler = serve;
+  config.handler = handle_request;
   if (rst_http_server_create (&config, &server) != RST_TRANSPORT_OK)
     {
       fprintf (stderr, "%s: listen: address cannot be used\n", program.name);
@@ -218,7 +221,7 @@
     }
   printf ("ready http=%s\n", rst_http_server_address (server));
   fflush (stdout);
-  rst_os_wait_stop ();
+  rst_os_wait_stop_signal ();
   rst_http_server_destroy (server);
   return EXIT_SUCCESS;
 }
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -22,10 +22,10 @@
 #include "util/program.h"
 
 /** Time between two looks at what is due. */
-#define TICK_US 2000
+#define TICK_INTERVAL_US 2000
 
 /** Bound on a request's body in bytes. */
-#define BODY_MAX (4 * 1024 * 1024)
+#define BODY_MAX_BYTES (4 * 1024 * 1024)
 
 /** Longest lease in milliseconds. */
 #define LEASE_MAX_MS 6000
@@ -34,17 +34,19 @@
 {
   char listen[RST_ADDRESS_SIZE];
   int64_t instances;
-  int64_t cpu;
+  int64_t cpu_milli;
   int64_t memory_mb;
 };
 
 static const struct rst_conf_field fields[] = {
-  RST_CONF_TEXT ("listen", RST_CONF_ADDRESS, true, struct settings, listen),
-  RST_CONF_INT ("instances.count", false, struct settings, instances, 1, 100),
-  RST_CONF_INT ("instances.cpu_milli", false, struct settings, cpu, 1,
-                1000000),
-  RST_CONF_INT ("instances.memory_mb", false, struct settings, memory_mb, 1,
-                10000000),
+  RST_CONF_STRING_FIELD ("listen", RST_CONF_ADDRESS, true, struct settings,
+                         listen),
+  RST_CONF_INTEGER_FIELD ("instances.count", false, struct settings, instances,
+                          1, 100),
+  RST_CONF_INTEGER_FIELD ("instances.cpu_milli", false, struct settings,
+                          cpu_milli, 1, 1000000),
+  RST_CONF_INTEGER_FIELD ("instances.memory_mb", false, struct settings,
+                          memory_mb, 1, 10000000),
 };
 
 static const struct rst_program program = {
@@ -63,16 +65,16 @@
   bool stopped;
 };
 
-struct end
+struct ended_run
 {
   int64_t number;
   char *task;
   int64_t attempt;
-  const char *how;
+  const char *end_reason;
 };
 
 /* A look that waits for an end. */
-struct look
+struct long_poll
 {
   struct rst_http_request *request;
   rst_ms until;
@@ -82,14 +84,14 @@
 {
   char id[RST_NAME_SIZE];
   struct rst_http_server *server;
-  int64_t born;
-  int64_t fence;
-  int64_t lease;
-  int64_t next_end;
+  int64_t incarnation;
+  int64_t fencing_token;
+  int64_t lease_expires_at;
+  int64_t next_end_number;
   GHashTable *runs;
   GHashTable *highest;
-  GQueue ends;
-  GPtrArray *looks;
+  GQueue ended_runs;
+  GPtrArray *long_polls;
 };
 
 static struct
@@ -98,7 +100,7 @@
   struct platform_store *store;
   GPtrArray *instances;
   /* Names of tasks whose end "done" was listed. */
-  GHashTable *done;
+  GHashTable *done_tasks;
   int64_t done_count;
   int64_t twice;
   int64_t advice_calls;
@@ -116,29 +118,29 @@
 
 /* What each answer of an instance holds. */
 static struct json_object *
-answer_new (const struct instance *instance)
+create_answer (const struct instance *instance)
 {
   struct json_object *body = json_object_new_object ();
 
   rst_json_set_number (body, "clock_ms", rst_os_now ());
-  rst_json_set_number (body, "born", instance->born);
+  rst_json_set_number (body, "born", instance->incarnation);
   return body;
 }
 
 static void
-refuse (const struct instance *instance, struct rst_http_request *request,
+reject (const struct instance *instance, struct rst_http_request *request,
         const char *reason)
 {
-  struct json_object *body = answer_new (instance);
+  struct json_object *body = create_answer (instance);
 
   rst_json_set_text (body, "reason", reason);
-  platform_reply (request, 409, body);
+  platform_store_reply (request, 409, body);
 }
 
 static void
-reply_lists (struct instance *instance, struct rst_http_request *request)
+reply_run_lists (struct instance *instance, struct rst_http_request *request)
 {
-  struct json_object *body = answer_new (instance);
+  struct json_object *body = create_answer (instance);
   struct json_object *running = json_object_new_array ();
   struct json_object *finished = json_object_new_array ();
   GHashTableIter iter;
@@ -157,60 +159,64 @@
       json_object_array_add (row, json_object_new_int64 (0));
       json_object_array_add (running, row);
     }
-  for (GList *at = instance->ends.head; at != NULL; at = at->next)
+  for (GList *node = instance->ended_runs.head; node != NULL;
+       node = node->next)
     {
-      const struct end *end = at->data;
+      const struct ended_run *ended_run = node->data;
       struct json_object *row = json_object_new_array ();
 
-      json_object_array_add (row, json_object_new_int64 (end->number));
-      json_object_array_add (row, json_object_new_string (end->task));
-      json_object_array_add (row, json_object_new_int64 (end->attempt));
-      json_object_array_add (row, json_object_new_string (end->how));
+      json_object_array_add (row, json_object_new_int64 (ended_run->number));
+      json_object_array_add (row, json_object_new_string (ended_run->task));
+      json_object_array_add (row, json_object_new_int64 (ended_run->attempt));
+      json_object_array_add (row,
+                             json_object_new_string (ended_run->end_reason));
       json_object_array_add (row, json_object_new_string (""));
       json_object_array_add (finished, row);
     }
   json_object_object_add (body, "running", running);
   json_object_object_add (body, "finished", finished);
-  platform_reply (request, 200, body);
+  platform_store_reply (request, 200, body);
 }
 
 static void
-forget_ends (struct instance *instance, int64_t last_seen)
+discard_ended_runs (struct instance *instance, int64_t last_seen)
 {
-  struct end *end = g_queue_peek_head (&instance->ends);
+  struct ended_run *ended_run = g_queue_peek_head (&instance->ended_runs);
 
-  while (end != NULL && end->number <= last_seen)
+  while (ended_run != NULL && ended_run->number <= last_seen)
     {
-      g_queue_pop_head (&instance->ends);
-      g_free (end->task);
-      g_free (end);
-      end = g_queue_peek_head (&instance->ends);
+      g_queue_pop_head (&instance->ended_runs);
+      g_free (ended_run->task);
+      g_free (ended_run);
+      ended_run = g_queue_peek_head (&instance->ended_runs);
     }
 }
 
 static void
-hold (struct instance *instance, struct rst_http_request *request,
-      struct json_object *call)
+handle_hold (struct instance *instance, struct rst_http_request *request,
+             struct json_object *params)
 {
-  struct look *look;
+  struct long_poll *long_poll;
 
-  forget_ends (instance, rst_json_number (call, "last_seen", 0));
-  if (rst_json_number (call, "wait_ms", 0) == 0 || instance->ends.length > 0)
+  discard_ended_runs (instance, rst_json_get_number (params, "last_seen", 0));
+  if (rst_json_get_number (params, "wait_ms", 0) == 0
+      || instance->ended_runs.length > 0)
     {
-      reply_lists (instance, request);
+      reply_run_lists (instance, request);
       return;
     }
-  look = g_new0 (struct look, 1);
-  look->request = request;
-  look->until = rst_os_now () + rst_json_number (call, "wait_ms", 0);
-  g_ptr_array_add (instance->looks, look);
+  long_poll = g_new0 (struct long_poll, 1);
+  long_poll->request = request;
+  long_poll->until
+      = rst_os_now () + rst_json_get_number (params, "wait_ms", 0);
+  g_ptr_array_add (instance->long_polls, long_poll);
 }
 
 /* Counts a task that runs elsewhere or has ended as done before. */
 static void
-count_twice (const char *task)
+count_duplicate_start (const char *task)
 {
-  bool twice = g_hash_table_contains (platform.done, task);
+  bool twice = g_hash_table_contains (platform.done_tasks, task);
 
   for (guint i = 0; i < platform.instances->len; i++)
     {
@@ -229,7 +235,8 @@
 }
 
 static void
-raise_highest (struct instance *instance, const char *task, int64_t attempt)
+raise_highest_attempt (struct instance *instance, const char *task,
+                       int64_t attempt)
 {
   if (attempt > highest (instance, task))
     g_hash_table_replace (instance->highest, g_strdup (task),
@@ -237,123 +244,126 @@
 }
 
 static void
-start (struct instance *instance, struct rst_http_request *request,
-       struct json_object *call)
+handle_start (struct instance *instance, struct rst_http_request *request,
+              struct json_object *params)
 {
-  const char *task = rst_json_text (call, "task");
-  const char *spec = rst_json_text (call, "spec");
-  int64_t attempt = rst_json_number (call, "attempt", 0);
-  const struct run *there = g_hash_table_lookup (instance->runs, task);
+  const char *task = rst_json_get_text (params, "task");
+  const char *spec = rst_json_get_text (params, "spec");
+  int64_t attempt = rst_json_get_number (params, "attempt", 0);
+  const struct run *existing = g_hash_table_lookup (instance->runs, task);
   struct run *run;
 
-  if (there != NULL && there->attempt == attempt)
+  if (existing != NULL && existing->attempt == attempt)
     {
-      platform_reply (request, 200, answer_new (instance));
+      platform_store_reply (request, 200, create_answer (instance));
       return;
     }
-  if (there != NULL || attempt <= highest (instance, task))
+  if (existing != NULL || attempt <= highest (instance, task))
     {
-      refuse (instance, request, "old");
+      reject (instance, request, "old");
       return;
     }
-  if (instance->lease <= rst_os_now ())
+  if (instance->lease_expires_at <= rst_os_now ())
     {
-      refuse (instance, request, "late");
+      reject (instance, request, "late");
       return;
     }
-  count_twice (task);
+  count_duplicate_start (task);
   run = g_new0 (struct run, 1);
   run->task = g_strdup (task);
   run->attempt = attempt;
   run->ends_at = rst_os_now () + (spec != NULL ? strtoll (spec, NULL, 10) : 0);
   g_hash_table_replace (instance->runs, run->task, run);
-  platform_reply (request, 200, answer_new (instance));
+  platform_store_reply (request, 200, create_answer (instance));
 }
 
 static void
 stop (struct instance *instance, struct rst_http_request *request,
-      struct json_object *call)
+      struct json_object *params)
 {
-  const char *task = rst_json_text (call, "task");
-  int64_t attempt = rst_json_number (call, "attempt", 0);
+  const char *task = rst_json_get_text (params, "task");
+  int64_t attempt = rst_json_get_number (params, "attempt", 0);
   struct run *run = g_hash_table_lookup (instance->runs, task);
 
-  raise_highest (instance, task, attempt);
+  raise_highest_attempt (instance, task, attempt);
   if (run != NULL && run->attempt <= attempt)
     {
       run->stopped = true;
       run->ends_at = rst_os_now ();
     }
-  platform_reply (request, 200, answer_new (instance));
+  platform_store_reply (request, 200, create_answer (instance));
 }
 
 static void
-serve_order (struct instance *instance, struct rst_http_request *request,
-             struct json_object *call)
+handle_order (struct instance *instance, struct rst_http_request *request,
+              struct json_object *params)
 {
-  const char *path = rst_http_path (request);
-  int64_t fence = rst_json_number (call, "fencing_token", 0);
-  int64_t until = rst_json_number (call, "deadline_ms", 0);
+  const char *path = rst_http_request_path (request);
+  int64_t fencing_token = rst_json_get_number (params, "fencing_token", 0);
+  int64_t until = rst_json_get_number (params, "deadline_ms", 0);
 
-  if (fence < instance->fence)
+  if (fencing_token < instance->fencing_token)
     {
-      refuse (instance, request, "fence");
+      reject (instance, request, "fence");
       return;
     }
-  instance->fence = fence;
-  instance->lease
-      = MAX (instance->lease, MIN (until, rst_os_now () + LEASE_MAX_MS));
+  instance->fencing_token = fencing_token;
+  instance->lease_expires_at = MAX (instance->lease_expires_at,
+                                    MIN (until, rst_os_now () + LEASE_MAX_MS));
   if (strcmp (path, "/-/hold") == 0)
-    hold (instance, request, call);
-  else if (rst_json_text (call, "task") == NULL)
-    rst_http_reply_text (request, 400, "{\"error\":\"task: missing\"}");
+    handle_hold (instance, request, params);
+  else if (rst_json_get_text (params, "task") == NULL)
+    rst_http_request_reply_json (request, 400,
+                                 "{\"error\":\"task: missing\"}");
   else if (strcmp (path, "/-/run-start") == 0)
-    start (instance, request, call);
+    handle_start (instance, request, params);
   else if (strcmp (path, "/-/run-stop") == 0)
-    stop (instance, request, call);
+    stop (instance, request, params);
   else
-    rst_http_reply_text (request, 404, "{\"error\":\"no such call\"}");
+    rst_http_request_reply_json (request, 404, "{\"error\":\"no such call\"}");
 }
 
 static void
-serve_instance (struct rst_http_request *request, void *userdata)
+handle_instance_request (struct rst_http_request *request, void *userdata)
 {
   struct instance *instance = userdata;
-  struct json_object *call = rst_json_parse (rst_http_body (request, NULL));
+  struct json_object *params
+      = rst_json_parse (rst_http_request_body (request, NULL));
   const char *expected
-      = rst_http_header (request, "X-Rosemarystile-Expect-Instance");
+      = rst_http_request_header (request, "X-Rosemarystile-Expect-Instance");
 
   pthread_mutex_lock (&platform.lock);
-  if (call == NULL)
-    rst_http_reply_text (request, 400, "{\"error\":\"not JSON\"}");
+  if (params == NULL)
+    rst_http_request_reply_json (request, 400, "{\"error\":\"not JSON\"}");
   else if (expected != NULL && strcmp (expected, instance->id) != 0)
-    rst_http_reply_text (request, 421, "{\"error\":\"another instance\"}");
+    rst_http_request_reply_json (request, 421,
+                                 "{\"error\":\"another instance\"}");
   else
-    serve_order (instance, request, call);
+    handle_order (instance, request, params);
   pthread_mutex_unlock (&platform.lock);
-  json_object_put (call);
+  json_object_put (params);
 }
 
 static void
-end_run (struct instance *instance, struct run *run, const char *how)
+finish_run (struct instance *instance, struct run *run, const char *end_reason)
 {
-  struct end *end = g_new0 (struct end, 1);
-
-  end->number = instance->next_end++;
-  end->task = g_strdup (run->task);
-  end->attempt = run->attempt;
-  end->how = how;
-  g_queue_push_tail (&instance->ends, end);
-  raise_highest (instance, run->task, run->attempt);
-  if (strcmp (how, "done") == 0)
+  struct ended_run *ended_run = g_new0 (struct ended_run, 1);
+
+  ended_run->number = instance->next_end_number++;
+  ended_run->task = g_strdup (run->task);
+  ended_run->attempt = run->attempt;
+  ended_run->end_reason = end_reason;
+  g_queue_push_tail (&instance->ended_runs, ended_run);
+  raise_highest_attempt (instance, run->task, run->attempt);
+  if (strcmp (end_reason, "done") == 0)
     {
-      g_hash_table_add (platform.done, g_strdup (run->task));
+      g_hash_table_add (platform.done_tasks, g_strdup (run->task));
       platform.done_count++;
     }
 }
 
 static void
-end_due_runs (struct instance *instance, rst_ms now)
+finish_due_runs (struct instance *instance, rst_ms now)
 {
   GHashTableIter iter;
   gpointer value;
@@ -363,10 +373,10 @@
     {
       struct run *run = value;
 
-      if (instance->lease <= now)
-        end_run (instance, run, "lapsed");
+      if (instance->lease_expires_at <= now)
+        finish_run (instance, run, "lapsed");
       else if (run->ends_at <= now)
-        end_run (instance, run, run->stopped ? "stopped" : "done");
+        finish_run (instance, run, run->stopped ? "stopped" : "done");
       else
         continue;
       g_hash_table_iter_remove (&iter);
@@ -374,16 +384,17 @@
 }
 
 static void
-answer_looks (struct instance *instance, rst_ms now)
+answer_long_polls (struct instance *instance, rst_ms now)
 {
-  for (guint i = instance->looks->len; i-- > 0;)
+  for (guint i = instance->long_polls->len; i-- > 0;)
     {
-      struct look *look = g_ptr_array_index (instance->looks, i);
+      struct long_poll *long_poll
+          = g_ptr_array_index (instance->long_polls, i);
 
-      if (instance->ends.length == 0 && now < look->until)
+      if (instance->ended_runs.length == 0 && now < long_poll->until)
         continue;
-      reply_lists (instance, look->request);
-      g_ptr_array_remove_index_fast (instance->looks, i);
+      reply_run_lists (instance, long_poll->request);
+      g_ptr_array_remove_index_fast (instance->long_polls, i);
     }
 }
 
@@ -395,25 +406,26 @@
     {
       rst_ms now = rst_os_now ();
 
-      usleep (TICK_US);
+      usleep (TICK_INTERVAL_US);
       pthread_mutex_lock (&platform.lock);
       for (guint i = 0; i < platform.instances->len; i++)
         {
-          end_due_runs (g_ptr_array_index (platform.instances, i), now);
-          answer_looks (g_ptr_array_index (platform.instances, i), now);
+          finish_due_runs (g_ptr_array_index (platform.instances, i), now);
+          answer_long_polls (g_ptr_array_index (platform.instances, i), now);
         }
       pthread_mutex_unlock (&platform.lock);
-      platform_store_tick (platform.store);
+      platform_store_expire_watches (platform.store);
     }
   return NULL;
 }
 
 /* Approves every instance. */
 static void
-advise (struct rst_http_request *request)
+handle_advise (struct rst_http_request *request)
 {
-  struct json_object *call = rst_json_parse (rst_http_body (request, NULL));
-  struct json_object *workers = rst_json_array (call, "workers");
+  struct json_object *params
+      = rst_json_parse (rst_http_request_body (request, NULL));
+  struct json_object *workers = rst_json_get_array (params, "workers");
   struct json_object *body = json_object_new_object ();
   struct json_object *rows = json_object_new_array ();
 
@@ -428,15 +440,15 @@
       json_object_array_add (rows, row);
     }
   json_object_object_add (body, "approved", rows);
-  platform_reply (request, 200, body);
-  json_object_put (call);
+  platform_store_reply (request, 200, body);
+  json_object_put (params);
   pthread_mutex_lock (&platform.lock);
   platform.advice_calls++;
   pthread_mutex_unlock (&platform.lock);
 }
 
 static void
-account (struct rst_http_request *request)
+reply_counters (struct rst_http_request *request)
 {
   struct json_object *body = json_object_new_object ();
 
@@ -445,23 +457,23 @@
   rst_json_set_number (body, "twice", platform.twice);
   rst_json_set_number (body, "advice_calls", platform.advice_calls);
   pthread_mutex_unlock (&platform.lock);
-  platform_reply (request, 200, body);
+  platform_store_reply (request, 200, body);
 }
 
 static void
-serve (struct rst_http_request *request, void *userdata)
+handle_request (struct rst_http_request *request, void *userdata)
 {
-  const char *path = rst_http_path (request);
+  const char *path = rst_http_request_path (request);
 
   (void)userdata;
-  if (platform_store_serve (platform.store, request))
+  if (platform_store_handle_request (platform.store, request))
     return;
   if (strcmp (path, "/-/advise") == 0)
-    advise (request);
+    handle_advise (request);
   else if (strcmp (path, "/account") == 0)
-    account (request);
+    reply_counters (request);
   else
-    rst_http_reply_text (request, 404, "{\"error\":\"no such call\"}");
+    rst_http_request_reply_json (request, 404, "{\"error\":\"no such call\"}");
 }
 
 /* Writes the entry under which an instance registers. */
@@ -475,8 +487,8 @@
       "\"version\":\"1\",\"slots\":8,\"state\":\"ready\",\"seq\":1,"
       "\"born\":%" PRId64 ",\"capacity\":{\"cpu\":%" PRId64
       ",\"mem_mb\":%" PRId64 ",\"gpu\":0},\"labels\":[\"a\",\"r1-1\"]}",
-      rst_http_server_address (instance->server), instance->born,
-      settings->cpu, settings->memory_mb);
+      rst_http_server_address (instance->server), instance->incarnation,
+      settings->cpu_milli, settings->memory_mb);
 
   platform_store_put (platform.store, key, entry);
   g_free (key);
@@ -490,19 +502,19 @@
   struct rst_http_server_config config = { 0 };
 
   g_snprintf (instance->id, sizeof instance->id, "i-%d", number);
-  instance->born = g_get_real_time () / 1000;
-  instance->next_end = 1;
+  instance->incarnation = g_get_real_time () / 1000;
+  instance->next_end_number = 1;
   instance->runs
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, run_free);
   instance->highest
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  instance->looks = g_ptr_array_new_with_free_func (g_free);
-  g_queue_init (&instance->ends);
+  instance->long_polls = g_ptr_array_new_with_free_func (g_free);
+  g_queue_init (&instance->ended_runs);
   config.address = "127.0.0.1:0";
-  config.max_body = BODY_MAX;
+  config.max_body_bytes = BODY_MAX_BYTES;
   config.max_connections = 64;
   config.idle_timeout_s = 120;
-  config.handler = serve_instance;
+  config.handler = handle_instance_request;
   config.userdata = instance;
   if (rst_http_server_create (&config, &instance->server) != RST_TRANSPORT_OK)
     return false;
@@ -519,20 +531,20 @@
   struct rst_http_server *server;
   pthread_t thread;
   bool started = true;
-  int early = rst_program_start (&program, argc, argv, &settings);
+  int exit_status = rst_program_configure (&program, argc, argv, &settings);
 
-  if (early >= 0)
-    return early;
+  if (exit_status >= 0)
+    return exit_status;
   rst_os_block_signals ();
   platform.store = platform_store_create ();
   platform.instances = g_ptr_array_new ();
-  platform.done
+  platform.done_tasks
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   config.address = settings.listen;
-  config.max_body = BODY_MAX;
+  config.max_body_bytes = BODY_MAX_BYTES;
   config.max_connections = 1000;
   config.idle_timeout_s = 120;
-  config.handler = serve;
+  config.handler = handle_request;
   pthread_mutex_lock (&platform.lock);
   for (int i = 0; started && i < settings.instances; i++)
     started = start_instance (&settings, i);
@@ -545,7 +557,7 @@
     }
   printf ("ready http=%s\n", rst_http_server_address (server));
   fflush (stdout);
-  rst_os_wait_stop ();
+  rst_os_wait_stop_signal ();
   atomic_store (&platform.stop, true);
   pthread_join (thread, NULL);
   rst_http_server_destroy (server);
--- a/standin/platform_store.c
+++ b/standin/platform_store.c
@@ -10,18 +10,18 @@
 #include "util/os.h"
 
 /** Bound on a value in bytes, and its length as base64 text. */
-#define VALUE_MAX 1048576
-#define VALUE_TEXT_MAX ((VALUE_MAX + 2) / 3 * 4)
+#define VALUE_MAX_BYTES 1048576
+#define VALUE_BASE64_MAX_BYTES ((VALUE_MAX_BYTES + 2) / 3 * 4)
 
 /** Bounds on one page: items and bytes of their values. */
-#define PAGE_ITEMS 500
-#define PAGE_BYTES 1000000
+#define PAGE_ITEMS_MAX 500
+#define PAGE_MAX_BYTES 1000000
 
 /** Entries that one transaction may have. */
-#define TXN_ENTRIES 32
+#define TXN_ENTRIES_MAX 32
 
 /** Changes that watches can go back to. */
-#define HISTORY_MAX 10000
+#define HISTORY_CHANGES_MAX 10000
 
 /* A key, or one change of it. */
 struct item
@@ -37,7 +37,7 @@
   struct rst_http_request *request;
   char *prefix;
   int64_t after;
-  rst_ms until;
+  rst_ms deadline;
 };
 
 struct platform_store
@@ -100,7 +100,7 @@
 }
 
 static struct json_object *
-item_json (const struct item *item)
+item_to_json (const struct item *item)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -114,12 +114,12 @@
 }
 
 void
-platform_reply (struct rst_http_request *request, unsigned status,
-                struct json_object *body)
+platform_store_reply (struct rst_http_request *request, unsigned status,
+                      struct json_object *body)
 {
-  char *text = rst_json_release (body);
+  char *text = rst_json_format_and_release (body);
 
-  rst_http_reply_text (request, status, text);
+  rst_http_request_reply_json (request, status, text);
   free (text);
 }
 
@@ -130,7 +130,7 @@
   struct json_object *body = json_object_new_object ();
 
   rst_json_set_text (body, "error", error);
-  platform_reply (request, status, body);
+  platform_store_reply (request, status, body);
 }
 
 /* Answers a watch when there is a change for it, or its wait is over. */
@@ -141,15 +141,15 @@
   struct json_object *events = json_object_new_array ();
   struct json_object *body;
 
-  for (GList *at = store->history.head; at != NULL; at = at->next)
+  for (GList *node = store->history.head; node != NULL; node = node->next)
     {
-      const struct item *change = at->data;
+      const struct item *change = node->data;
 
       if (change->revision > watch->after
           && g_str_has_prefix (change->key, watch->prefix))
-        json_object_array_add (events, item_json (change));
+        json_object_array_add (events, item_to_json (change));
     }
-  if (json_object_array_length (events) == 0 && now < watch->until)
+  if (json_object_array_length (events) == 0 && now < watch->deadline)
     {
       json_object_put (events);
       return false;
@@ -157,7 +157,7 @@
   body = json_object_new_object ();
   json_object_object_add (body, "events", events);
   rst_json_set_number (body, "current_rev", store->revision);
-  platform_reply (watch->request, 200, body);
+  platform_store_reply (watch->request, 200, body);
   return true;
 }
 
@@ -177,7 +177,7 @@
   struct item *item = item_new (key, value, store->revision);
 
   g_queue_push_tail (&store->history, item_new (key, value, store->revision));
-  if (g_queue_get_length (&store->history) > HISTORY_MAX)
+  if (g_queue_get_length (&store->history) > HISTORY_CHANGES_MAX)
     item_free (g_queue_pop_head (&store->history));
   if (value != NULL)
     {
@@ -205,7 +205,7 @@
 }
 
 void
-platform_store_tick (struct platform_store *store)
+platform_store_expire_watches (struct platform_store *store)
 {
   pthread_mutex_lock (&store->lock);
   answer_watches (store);
@@ -213,9 +213,9 @@
 }
 
 static void
-get_key (struct platform_store *store, struct rst_http_request *request)
+handle_get (struct platform_store *store, struct rst_http_request *request)
 {
-  const char *key = rst_http_query (request, "key");
+  const char *key = rst_http_request_query (request, "key");
   const struct item *item
       = key != NULL ? g_tree_lookup (store->items, key) : NULL;
   struct json_object *body;
@@ -225,9 +225,9 @@
       reply_error (request, 404, "no such key");
       return;
     }
-  body = item_json (item);
+  body = item_to_json (item);
   rst_json_set_number (body, "current_rev", store->revision);
-  platform_reply (request, 200, body);
+  platform_store_reply (request, 200, body);
 }
 
 struct page
@@ -236,7 +236,7 @@
   const char *after;
   struct json_object *items;
   size_t bytes;
-  bool more;
+  bool has_more;
 };
 
 static gboolean
@@ -247,50 +247,50 @@
 
   if (!g_str_has_prefix (key, page->prefix) || strcmp (key, page->after) <= 0)
     return FALSE;
-  page->more = json_object_array_length (page->items) >= PAGE_ITEMS
-               || page->bytes >= PAGE_BYTES;
-  if (page->more)
+  page->has_more = json_object_array_length (page->items) >= PAGE_ITEMS_MAX
+                   || page->bytes >= PAGE_MAX_BYTES;
+  if (page->has_more)
     return TRUE;
-  json_object_array_add (page->items, item_json (item));
+  json_object_array_add (page->items, item_to_json (item));
   page->bytes += strlen (item->value);
   return FALSE;
 }
 
 static const char *
-query_text (const struct rst_http_request *request, const char *name)
+get_query_text (const struct rst_http_request *request, const char *name)
 {
-  const char *text = rst_http_query (request, name);
+  const char *text = rst_http_request_query (request, name);
 
   return text != NULL ? text : "";
 }
 
 static void
-get_range (struct platform_store *store, struct rst_http_request *request)
+handle_range (struct platform_store *store, struct rst_http_request *request)
 {
-  struct page page
-      = { query_text (request, "prefix"), query_text (request, "after"),
-          json_object_new_array (), 0, false };
+  struct page page = { get_query_text (request, "prefix"),
+                       get_query_text (request, "after"),
+                       json_object_new_array (), 0, false };
   struct json_object *body = json_object_new_object ();
 
   g_tree_foreach (store->items, add_to_page, &page);
   json_object_object_add (body, "items", page.items);
-  rst_json_set_bool (body, "has_more", page.more);
+  rst_json_set_bool (body, "has_more", page.has_more);
   rst_json_set_number (body, "current_rev", store->revision);
-  platform_reply (request, 200, body);
+  platform_store_reply (request, 200, body);
 }
 
 static void
-begin_watch (struct platform_store *store, struct rst_http_request *request)
+handle_watch (struct platform_store *store, struct rst_http_request *request)
 {
   struct watch *watch = g_new0 (struct watch, 1);
   const struct item *oldest = g_queue_peek_head (&store->history);
 
   watch->request = request;
-  watch->prefix = g_strdup (query_text (request, "prefix"));
-  watch->after = strtoll (query_text (request, "after"), NULL, 10);
-  watch->until
-      = rst_os_now () + strtoll (query_text (request, "wait_ms"), NULL, 10);
-  if (g_queue_get_length (&store->history) == HISTORY_MAX
+  watch->prefix = g_strdup (get_query_text (request, "prefix"));
+  watch->after = strtoll (get_query_text (request, "after"), NULL, 10);
+  watch->deadline = rst_os_now ()
+                    + strtoll (get_query_text (request, "wait_ms"), NULL, 10);
+  if (g_queue_get_length (&store->history) == HISTORY_CHANGES_MAX
       && oldest->revision > watch->after)
     {
       reply_error (request, 410, "this history is no longer kept");
@@ -302,7 +302,7 @@
 }
 
 static size_t
-length_of (struct json_object *list)
+get_array_length (struct json_object *list)
 {
   return list != NULL ? json_object_array_length (list) : 0;
 }
@@ -310,21 +310,22 @@
 /* The present state of the keys whose revision was said; NULL when all hold.
  */
 static struct json_object *
-failed_conditions (struct platform_store *store, struct json_object *expected)
+find_failed_conditions (struct platform_store *store,
+                        struct json_object *expected)
 {
   struct json_object *items = json_object_new_array ();
   bool failed = false;
 
-  for (size_t i = 0; i < length_of (expected); i++)
+  for (size_t i = 0; i < get_array_length (expected); i++)
     {
       struct json_object *row = json_object_array_get_idx (expected, i);
-      const char *key = rst_json_text (row, "key");
+      const char *key = rst_json_get_text (row, "key");
       const struct item *item = g_tree_lookup (store->items, key);
 
-      failed |= rst_json_number (row, "revision", 0)
+      failed |= rst_json_get_number (row, "revision", 0)
                 != (item != NULL ? item->revision : 0);
       if (item != NULL)
-        json_object_array_add (items, item_json (item));
+        json_object_array_add (items, item_to_json (item));
     }
   if (failed)
     return items;
@@ -335,13 +336,13 @@
 static bool
 are_writes_allowed (struct json_object *writes)
 {
-  for (size_t i = 0; i < length_of (writes); i++)
+  for (size_t i = 0; i < get_array_length (writes); i++)
     {
       struct json_object *row = json_object_array_get_idx (writes, i);
-      const char *value = rst_json_text (row, "value");
+      const char *value = rst_json_get_text (row, "value");
 
-      if (rst_json_text (row, "key") == NULL || value == NULL
-          || strlen (value) > VALUE_TEXT_MAX)
+      if (rst_json_get_text (row, "key") == NULL || value == NULL
+          || strlen (value) > VALUE_BASE64_MAX_BYTES)
         return false;
     }
   return true;
@@ -352,70 +353,73 @@
            struct json_object *removed)
 {
   store->revision++;
-  for (size_t i = 0; i < length_of (writes); i++)
+  for (size_t i = 0; i < get_array_length (writes); i++)
     {
       struct json_object *row = json_object_array_get_idx (writes, i);
 
-      change (store, rst_json_text (row, "key"), rst_json_text (row, "value"));
+      change (store, rst_json_get_text (row, "key"),
+              rst_json_get_text (row, "value"));
     }
-  for (size_t i = 0; i < length_of (removed); i++)
+  for (size_t i = 0; i < get_array_length (removed); i++)
     change (store,
             json_object_get_string (json_object_array_get_idx (removed, i)),
             NULL);
 }
 
 static void
-do_txn (struct platform_store *store, struct rst_http_request *request)
+handle_txn (struct platform_store *store, struct rst_http_request *request)
 {
-  struct json_object *call = rst_json_parse (rst_http_body (request, NULL));
-  struct json_object *expected = rst_json_array (call, "expected_rev");
-  struct json_object *writes = rst_json_array (call, "writes");
-  struct json_object *removed = rst_json_array (call, "remove");
+  struct json_object *params
+      = rst_json_parse (rst_http_request_body (request, NULL));
+  struct json_object *expected = rst_json_get_array (params, "expected_rev");
+  struct json_object *writes = rst_json_get_array (params, "writes");
+  struct json_object *removed = rst_json_get_array (params, "remove");
   struct json_object *body = json_object_new_object ();
-  struct json_object *failed = failed_conditions (store, expected);
+  struct json_object *failed = find_failed_conditions (store, expected);
 
-  if (call == NULL || !are_writes_allowed (writes)
-      || length_of (writes) + length_of (removed) > TXN_ENTRIES)
+  if (params == NULL || !are_writes_allowed (writes)
+      || get_array_length (writes) + get_array_length (removed)
+             > TXN_ENTRIES_MAX)
     {
       rst_json_set_text (body, "error", "writes: missing, or too long");
-      platform_reply (request, 400, body);
+      platform_store_reply (request, 400, body);
     }
   else if (failed != NULL)
     {
       json_object_object_add (body, "items", json_object_get (failed));
-      platform_reply (request, 412, body);
+      platform_store_reply (request, 412, body);
     }
   else
     {
       apply_txn (store, writes, removed);
       rst_json_set_number (body, "revision", store->revision);
-      platform_reply (request, 200, body);
+      platform_store_reply (request, 200, body);
       answer_watches (store);
     }
   json_object_put (failed);
-  json_object_put (call);
+  json_object_put (params);
 }
 
 bool
-platform_store_serve (struct platform_store *store,
-                      struct rst_http_request *request)
+platform_store_handle_request (struct platform_store *store,
+                               struct rst_http_request *request)
 {
   static const struct
   {
     const char *path;
     void (*serve) (struct platform_store *store,
                    struct rst_http_request *request);
-  } calls[] = { { "/-/kv-key", get_key },
-                { "/-/kv-range", get_range },
-                { "/-/kv-watch", begin_watch },
-                { "/-/kv-txn", do_txn } };
+  } routes[] = { { "/-/kv-key", handle_get },
+                 { "/-/kv-range", handle_range },
+                 { "/-/kv-watch", handle_watch },
+                 { "/-/kv-txn", handle_txn } };
 
-  for (size_t i = 0; i < G_N_ELEMENTS (calls); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (routes); i++)
     {
-      if (strcmp (rst_http_path (request), calls[i].path) != 0)
+      if (strcmp (rst_http_request_path (request), routes[i].path) != 0)
         continue;
       pthread_mutex_lock (&store->lock);
-      calls[i].serve (store, request);
+      routes[i].serve (store, request);
       pthread_mutex_unlock (&store->lock);
       return true;
     }
--- a/standin/platform_store.h
+++ b/standin/platform_store.h
@@ -15,20 +15,21 @@
 
 struct platform_store;
 
-/** platform_reply() - Answers a request with @body, and frees it. */
-void platform_reply (struct rst_http_request *request, unsigned status,
-                     struct json_object *body);
+/** platform_store_reply() - Answers a request with @body, and frees it. */
+void platform_store_reply (struct rst_http_request *request, unsigned status,
+                           struct json_object *body);
 
 /** platform_store_create() - An empty store. */
 struct platform_store *platform_store_create (void);
 
 /**
- * platform_store_serve() - Answers a call if it is one of the store's.
+ * platform_store_handle_request() - Answers a call if it is one of the
+ * store's.
  *
  * Return: false when the path is not the store's; the request is untouched.
  */
-bool platform_store_serve (struct platform_store *store,
-                           struct rst_http_request *request);
+bool platform_store_handle_request (struct platform_store *store,
+                                    struct rst_http_request *request);
 
 /**
  * platform_store_put() - Writes a key as the platform's own parts do.
@@ -37,7 +38,7 @@
 void platform_store_put (struct platform_store *store, const char *key,
                          const char *text);
 
-/** platform_store_tick() - Ends watches whose wait is over. */
-void platform_store_tick (struct platform_store *store);
+/** platform_store_expire_watches() - Ends watches whose wait is over. */
+void platform_store_expire_watches (struct platform_store *store);
 
 #endif
--- a/standin/store.c
+++ b/standin/store.c
@@ -21,13 +21,13 @@
 #include "util/program.h"
 
 /** Changes kept for watches. */
-#define HISTORY_MAX 20000
+#define HISTORY_CHANGES_MAX 20000
 
 /** Time between two looks at leases, watches and delayed answers. */
-#define TICK_US 2000
+#define TICK_INTERVAL_US 2000
 
 /** Bound on a value in bytes. */
-#define VALUE_MAX 1048576
+#define VALUE_MAX_BYTES 1048576
 
 struct settings
 {
@@ -35,7 +35,8 @@
 };
 
 static const struct rst_conf_field fields[] = {
-  RST_CONF_TEXT ("listen", RST_CONF_ADDRESS, true, struct settings, listen),
+  RST_CONF_STRING_FIELD ("listen", RST_CONF_ADDRESS, true, struct settings,
+                         listen),
 };
 
 static const struct rst_program program = {
@@ -74,7 +75,7 @@
   struct rst_http_request *request;
   char *prefix;
   uint64_t after;
-  rst_ms until;
+  rst_ms deadline;
   CK_LIST_ENTRY (watch) entry;
 };
 
@@ -84,7 +85,7 @@
   struct rst_http_request *request;
   unsigned status;
   char *text;
-  rst_ms due;
+  rst_ms send_at;
   CK_LIST_ENTRY (delayed) entry;
 };
 
@@ -95,16 +96,16 @@
   GHashTable *leases;
   GPtrArray *history;
   uint64_t revision;
-  uint64_t next_lease;
-  bool down;
-  rst_ms slow_ms;
-  int64_t lose;
-  uint64_t reads;
-  uint64_t writes;
-  uint64_t watches;
-  CK_LIST_HEAD (watch_list, watch) waiting;
+  uint64_t last_lease_id;
+  bool is_down;
+  rst_ms reply_delay_ms;
+  int64_t replies_to_drop;
+  uint64_t read_count;
+  uint64_t write_count;
+  uint64_t watch_count;
+  CK_LIST_HEAD (watch_list, watch) pending_watches;
   CK_LIST_HEAD (delayed_list, delayed) delayed;
-  atomic_bool stop;
+  atomic_bool stop_requested;
 } store = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
 static void
@@ -131,13 +132,13 @@
  * ------------------------------------------------------------------- */
 
 static void
-answer (struct rst_http_request *request, unsigned status, char *text)
+send_reply (struct rst_http_request *request, unsigned status, char *text)
 {
   struct delayed *delayed;
 
-  if (store.slow_ms == 0)
+  if (store.reply_delay_ms == 0)
     {
-      rst_http_reply_text (request, status, text);
+      rst_http_request_reply_json (request, status, text);
       free (text);
       return;
     }
@@ -145,36 +146,37 @@
   delayed->request = request;
   delayed->status = status;
   delayed->text = text;
-  delayed->due = rst_os_now () + store.slow_ms;
+  delayed->send_at = rst_os_now () + store.reply_delay_ms;
   CK_LIST_INSERT_HEAD (&store.delayed, delayed, entry);
 }
 
 static void
-answer_revision (struct rst_http_request *request, unsigned status,
-                 uint64_t revision)
+reply_revision (struct rst_http_request *request, unsigned status,
+                uint64_t revision)
 {
   struct json_object *root = json_object_new_object ();
 
   rst_json_set_number (root, "revision", (int64_t)revision);
-  answer (request, status, rst_json_release (root));
+  send_reply (request, status, rst_json_format_and_release (root));
 }
 
 /* The answer to a write, which may get lost. */
 static void
-answer_write (struct rst_http_request *request, unsigned status,
-              uint64_t revision)
+reply_to_write (struct rst_http_request *request, unsigned status,
+                uint64_t revision)
 {
-  if (store.lose > 0 && status == 200)
+  if (store.replies_to_drop > 0 && status == 200)
     {
-      store.lose--;
-      rst_http_drop (request);
+      store.replies_to_drop--;
+      rst_http_request_abort (request);
       return;
     }
-  answer_revision (request, status, revision);
+  reply_revision (request, status, revision);
 }
 
 static struct json_object *
-kv_json (const char *key, const char *value, uint64_t revision, bool deleted)
+entry_to_json (const char *key, const char *value, uint64_t revision,
+               bool deleted)
 {
   struct json_object *item = json_object_new_object ();
 
@@ -187,21 +189,21 @@
 }
 
 static void
-answer_items (struct rst_http_request *request, struct json_object *items,
-              uint64_t revision)
+reply_items (struct rst_http_request *request, struct json_object *items,
+             uint64_t revision)
 {
   struct json_object *root = json_object_new_object ();
 
   json_object_object_add (root, "items", items);
   rst_json_set_number (root, "revision", (int64_t)revision);
-  answer (request, 200, rst_json_release (root));
+  send_reply (request, 200, rst_json_format_and_release (root));
 }
 
 /* ---- Watches
  * -------------------------------------------------------------------- */
 
 static struct json_object *
-changes_after (const char *prefix, uint64_t after)
+collect_changes (const char *prefix, uint64_t after)
 {
   struct json_object *items = json_object_new_array ();
   guint first = store.history->len;
@@ -216,15 +218,15 @@
       const struct change *change = g_ptr_array_index (store.history, i);
 
       if (g_str_has_prefix (change->key, prefix))
-        json_object_array_add (items,
-                               kv_json (change->key, change->value,
-                                        change->revision, change->deleted));
+        json_object_array_add (
+            items, entry_to_json (change->key, change->value, change->revision,
+                                  change->deleted));
     }
   return items;
 }
 
 static void
-watch_free (struct watch *watch)
+remove_watch (struct watch *watch)
 {
   CK_LIST_REMOVE (watch, entry);
   g_free (watch->prefix);
@@ -232,9 +234,9 @@
 }
 
 static void
-serve_watches (const char *key)
+answer_watches (const char *key)
 {
-  struct watch *watch = CK_LIST_FIRST (&store.waiting);
+  struct watch *watch = CK_LIST_FIRST (&store.pending_watches);
   rst_ms now = rst_os_now ();
 
   while (watch != NULL)
@@ -242,19 +244,19 @@
       struct watch *next = CK_LIST_NEXT (watch, entry);
 
       if (key != NULL ? g_str_has_prefix (key, watch->prefix)
-                      : now >= watch->until)
+                      : now >= watch->deadline)
         {
-          answer_items (watch->request,
-                        changes_after (watch->prefix, watch->after),
-                        store.revision);
-          watch_free (watch);
+          reply_items (watch->request,
+                       collect_changes (watch->prefix, watch->after),
+                       store.revision);
+          remove_watch (watch);
         }
       watch = next;
     }
 }
 
 static void
-record (const char *key, const char *value, bool deleted)
+record_change (const char *key, const char *value, bool deleted)
 {
   struct change *change = g_new0 (struct change, 1);
 
@@ -263,9 +265,9 @@
   change->revision = store.revision;
   change->deleted = deleted;
   g_ptr_array_add (store.history, change);
-  if (store.history->len > HISTORY_MAX)
-    g_ptr_array_remove_range (store.history, 0, HISTORY_MAX / 2);
-  serve_watches (key);
+  if (store.history->len > HISTORY_CHANGES_MAX)
+    g_ptr_array_remove_range (store.history, 0, HISTORY_CHANGES_MAX / 2);
+  answer_watches (key);
 }
 
 /* ---- Keys
@@ -278,42 +280,43 @@
 
   store.revision++;
   g_hash_table_remove (store.entries, copy);
-  record (copy, "", true);
+  record_change (copy, "", true);
   g_free (copy);
 }
 
 static int64_t
-number_of (struct rst_http_request *request, const char *name,
-           int64_t otherwise)
+get_query_number (struct rst_http_request *request, const char *name,
+                  int64_t fallback)
 {
-  const char *text = rst_http_query (request, name);
+  const char *text = rst_http_request_query (request, name);
 
-  return text != NULL ? g_ascii_strtoll (text, NULL, 10) : otherwise;
+  return text != NULL ? g_ascii_strtoll (text, NULL, 10) : fallback;
 }
 
 static bool
-expectation_holds (struct rst_http_request *request, const struct entry *entry)
+matches_expected_revision (struct rst_http_request *request,
+                           const struct entry *entry)
 {
-  int64_t expected = number_of (request, "expect", -1);
+  int64_t expected = get_query_number (request, "expect", -1);
 
   return expected < 0
          || (uint64_t)expected == (entry != NULL ? entry->revision : 0);
 }
 
 static void
-put_key (struct rst_http_request *request, const char *key)
+handle_put (struct rst_http_request *request, const char *key)
 {
   struct entry *entry = g_hash_table_lookup (store.entries, key);
-  uint64_t lease = (uint64_t)number_of (request, "lease", 0);
+  uint64_t lease = (uint64_t)get_query_number (request, "lease", 0);
 
   if (lease != 0 && !g_hash_table_contains (store.leases, &lease))
     {
-      answer_revision (request, 404, 0);
+      reply_revision (request, 404, 0);
       return;
     }
-  if (!expectation_holds (request, entry))
+  if (!matches_expected_revision (request, entry))
     {
-      answer_revision (request, 409, entry != NULL ? entry->revision : 0);
+      reply_revision (request, 409, entry != NULL ? entry->revision : 0);
       return;
     }
   if (entry == NULL)
@@ -323,46 +326,46 @@
       g_hash_table_insert (store.entries, entry->key, entry);
     }
   g_free (entry->value);
-  entry->value = g_strdup (rst_http_body (request, NULL));
+  entry->value = g_strdup (rst_http_request_body (request, NULL));
   entry->lease = lease;
   entry->revision = ++store.revision;
-  record (key, entry->value, false);
-  answer_write (request, 200, entry->revision);
+  record_change (key, entry->value, false);
+  reply_to_write (request, 200, entry->revision);
 }
 
 static void
-delete_key (struct rst_http_request *request, const char *key)
+handle_delete (struct rst_http_request *request, const char *key)
 {
   struct entry *entry = g_hash_table_lookup (store.entries, key);
 
   if (entry == NULL)
-    answer_revision (request, 404, 0);
-  else if (!expectation_holds (request, entry))
-    answer_revision (request, 409, entry->revision);
+    reply_revision (request, 404, 0);
+  else if (!matches_expected_revision (request, entry))
+    reply_revision (request, 409, entry->revision);
   else
     {
       remove_key (key);
-      answer_write (request, 200, store.revision);
+      reply_to_write (request, 200, store.revision);
     }
 }
 
 static void
-get_key (struct rst_http_request *request, const char *key)
+handle_get (struct rst_http_request *request, const char *key)
 {
   const struct entry *entry = g_hash_table_lookup (store.entries, key);
   struct json_object *item;
 
   if (entry == NULL)
     {
-      answer_revision (request, 404, 0);
+      reply_revision (request, 404, 0);
       return;
     }
-  item = kv_json (entry->key, entry->value, entry->revision, false);
-  answer (request, 200, rst_json_release (item));
+  item = entry_to_json (entry->key, entry->value, entry->revision, false);
+  send_reply (request, 200, rst_json_format_and_release (item));
 }
 
 static void
-list_keys (struct rst_http_request *request, const char *prefix)
+handle_list (struct rst_http_request *request, const char *prefix)
 {
   struct json_object *items = json_object_new_array ();
   GHashTableIter iterator;
@@ -374,58 +377,58 @@
       const struct entry *entry = value;
 
       if (g_str_has_prefix (entry->key, prefix))
-        json_object_array_add (
-            items, kv_json (entry->key, entry->value, entry->revision, false));
+        json_object_array_add (items, entry_to_json (entry->key, entry->value,
+                                                     entry->revision, false));
     }
-  answer_items (request, items, store.revision);
+  reply_items (request, items, store.revision);
 }
 
 static void
-serve_kv (struct rst_http_request *request)
+handle_kv (struct rst_http_request *request)
 {
-  const char *method = rst_http_method (request);
-  const char *key = rst_http_query (request, "key");
-  const char *prefix = rst_http_query (request, "prefix");
-  bool read = strcmp (method, "GET") == 0;
+  const char *method = rst_http_request_method (request);
+  const char *key = rst_http_request_query (request, "key");
+  const char *prefix = rst_http_request_query (request, "prefix");
+  bool is_read = strcmp (method, "GET") == 0;
 
-  if (read)
-    store.reads++;
+  if (is_read)
+    store.read_count++;
   else
-    store.writes++;
-  if (read && prefix != NULL)
-    list_keys (request, prefix);
+    store.write_count++;
+  if (is_read && prefix != NULL)
+    handle_list (request, prefix);
   else if (key == NULL)
-    answer_revision (request, 400, 0);
-  else if (read)
-    get_key (request, key);
+    reply_revision (request, 400, 0);
+  else if (is_read)
+    handle_get (request, key);
   else if (strcmp (method, "PUT") == 0)
-    put_key (request, key);
+    handle_put (request, key);
   else
-    delete_key (request, key);
+    handle_delete (request, key);
 }
 
 static void
-serve_watch (struct rst_http_request *request)
+handle_watch (struct rst_http_request *request)
 {
-  const char *prefix = rst_http_query (request, "prefix");
-  uint64_t after = (uint64_t)number_of (request, "after", 0);
+  const char *prefix = rst_http_request_query (request, "prefix");
+  uint64_t after = (uint64_t)get_query_number (request, "after", 0);
   const struct change *oldest
       = store.history->len > 0 ? g_ptr_array_index (store.history, 0) : NULL;
   struct json_object *items;
   struct watch *watch;
 
-  store.watches++;
+  store.watch_count++;
   if (prefix == NULL
-      || (oldest != NULL && store.history->len >= HISTORY_MAX / 2
+      || (oldest != NULL && store.history->len >= HISTORY_CHANGES_MAX / 2
           && after + 1 < oldest->revision))
     {
-      answer_revision (request, 410, store.revision);
+      reply_revision (request, 410, store.revision);
       return;
     }
-  items = changes_after (prefix, after);
+  items = collect_changes (prefix, after);
   if (json_object_array_length (items) > 0)
     {
-      answer_items (request, items, store.revision);
+      reply_items (request, items, store.revision);
       return;
     }
   json_object_put (items);
@@ -433,8 +436,8 @@
   watch->request = request;
   watch->prefix = g_strdup (prefix);
   watch->after = after;
-  watch->until = rst_os_now () + number_of (request, "wait_ms", 0);
-  CK_LIST_INSERT_HEAD (&store.waiting, watch, entry);
+  watch->deadline = rst_os_now () + get_query_number (request, "wait_ms", 0);
+  CK_LIST_INSERT_HEAD (&store.pending_watches, watch, entry);
 }
 
 /* ---- Leases
@@ -462,34 +465,34 @@
 {
   struct lease *lease = g_new0 (struct lease, 1);
 
-  lease->id = ++store.next_lease;
-  lease->ttl_ms = number_of (request, "ttl_ms", 1000);
+  lease->id = ++store.last_lease_id;
+  lease->ttl_ms = get_query_number (request, "ttl_ms", 1000);
   lease->expires_at = rst_os_now () + lease->ttl_ms;
   g_hash_table_insert (store.leases, &lease->id, lease);
-  answer_write (request, 200, lease->id);
+  reply_to_write (request, 200, lease->id);
 }
 
 static void
-serve_lease (struct rst_http_request *request)
+handle_lease (struct rst_http_request *request)
 {
-  const char *method = rst_http_method (request);
-  uint64_t id = (uint64_t)number_of (request, "id", 0);
+  const char *method = rst_http_request_method (request);
+  uint64_t id = (uint64_t)get_query_number (request, "id", 0);
   struct lease *lease = g_hash_table_lookup (store.leases, &id);
 
-  store.writes++;
+  store.write_count++;
   if (strcmp (method, "POST") == 0)
     grant_lease (request);
   else if (lease == NULL)
-    answer_revision (request, 404, 0);
+    reply_revision (request, 404, 0);
   else if (strcmp (method, "PUT") == 0)
     {
       lease->expires_at = rst_os_now () + lease->ttl_ms;
-      answer_write (request, 200, id);
+      reply_to_write (request, 200, id);
     }
   else
     {
       end_lease (id);
-      answer_write (request, 200, id);
+      reply_to_write (request, 200, id);
     }
 }
 
@@ -517,60 +520,62 @@
 {
   struct watch *watch;
 
-  while ((watch = CK_LIST_FIRST (&store.waiting)) != NULL)
+  while ((watch = CK_LIST_FIRST (&store.pending_watches)) != NULL)
     {
-      rst_http_drop (watch->request);
-      watch_free (watch);
+      rst_http_request_abort (watch->request);
+      remove_watch (watch);
     }
 }
 
 static void
-serve_faults (struct rst_http_request *request)
-{
-  store.down = number_of (request, "down", store.down) != 0;
-  store.slow_ms = number_of (request, "slow_ms", store.slow_ms);
-  store.lose = number_of (request, "lose", store.lose);
-  if (store.down)
+handle_faults (struct rst_http_request *request)
+{
+  store.is_down = get_query_number (request, "down", store.is_down) != 0;
+  store.reply_delay_ms
+      = get_query_number (request, "slow_ms", store.reply_delay_ms);
+  store.replies_to_drop
+      = get_query_number (request, "lose", store.replies_to_drop);
+  if (store.is_down)
     drop_watches ();
-  rst_http_reply_text (request, 200, "{}");
+  rst_http_request_reply_json (request, 200, "{}");
 }
 
 static void
-serve_figures (struct rst_http_request *request)
+handle_figures (struct rst_http_request *request)
 {
   struct json_object *root = json_object_new_object ();
   char *text;
 
-  rst_json_set_number (root, "reads", (int64_t)store.reads);
-  rst_json_set_number (root, "writes", (int64_t)store.writes);
-  rst_json_set_number (root, "watches", (int64_t)store.watches);
+  rst_json_set_number (root, "reads", (int64_t)store.read_count);
+  rst_json_set_number (root, "writes", (int64_t)store.write_count);
+  rst_json_set_number (root, "watches", (int64_t)store.watch_count);
   rst_json_set_number (root, "revision", (int64_t)store.revision);
-  text = rst_json_release (root);
-  rst_http_reply_text (request, 200, text);
+  text = rst_json_format_and_release (root);
+  rst_http_request_reply_json (request, 200, text);
   free (text);
 }
 
 static void
-serve (struct rst_http_request *request, void *userdata)
+handle_request (struct rst_http_request *request, void *userdata)
 {
-  const char *path = rst_http_path (request);
+  const char *path = rst_http_request_path (request);
 
   (void)userdata;
   pthread_mutex_lock (&store.lock);
   if (strcmp (path, "/faults") == 0)
-    serve_faults (request);
+    handle_faults (request);
   else if (strcmp (path, "/figures") == 0)
-    serve_figures (request);
-  else if (store.down)
-    rst_http_drop (request);
+    handle_figures (request);
+  else if (store.is_down)
+    rst_http_request_abort (request);
   else if (strcmp (path, "/v1/kv") == 0)
-    serve_kv (request);
+    handle_kv (request);
   else if (strcmp (path, "/v1/watch") == 0)
-    serve_watch (request);
+    handle_watch (request);
   else if (strcmp (path, "/v1/lease") == 0)
-    serve_lease (request);
+    handle_lease (request);
   else
-    answer_revision (request, 400, 0);
+    reply_revision (request, 400, 0);
   pthread_mutex_unlock (&store.lock);
 }
 
@@ -584,10 +589,10 @@
     {
       struct delayed *next = CK_LIST_NEXT (delayed, entry);
 
-      if (now >= delayed->due)
+      if (now >= delayed->send_at)
         {
-          rst_http_reply_text (delayed->request, delayed->status,
-                               delayed->text);
+          rst_http_request_reply_json (delayed->request, delayed->status,
+                                       delayed->text);
           CK_LIST_REMOVE (delayed, entry);
           free (delayed->text);
           g_free (delayed);
@@ -599,14 +604,14 @@
 static void *
 tick_main (void *userdata)
 {
-  while (!atomic_load (&store.stop))
+  while (!atomic_load (&store.stop_requested))
     {
       pthread_mutex_lock (&store.lock);
       expire_leases ();
-      serve_watches (NULL);
+      answer_watches (NULL);
       send_delayed ();
       pthread_mutex_unlock (&store.lock);
-      usleep (TICK_US);
+      usleep (TICK_INTERVAL_US);
     }
   return userdata;
 }
@@ -618,10 +623,10 @@
   struct rst_http_server_config config = { 0 };
   struct rst_http_server *server;
   pthread_t thread;
-  int early = rst_program_start (&program, argc, argv, &settings);
+  int exit_status = rst_program_configure (&program, argc, argv, &settings);
 
-  if (early >= 0)
-    return early;
+  if (exit_status >= 0)
+    return exit_status;
   rst_os_block_signals ();
   store.entries
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, entry_free);
@@ -629,10 +634,10 @@
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   store.history = g_ptr_array_new_with_free_func (change_free);
   config.address = settings.listen;
-  config.max_body = VALUE_MAX;
+  config.max_body_bytes = VALUE_MAX_BYTES;
   config.max_connections = 1000;
   config.idle_timeout_s = 120;
-  config.handler = serve;
+  config.handler = handle_request;
   if (rst_http_server_create (&config, &server) != RST_TRANSPORT_OK
       || pthread_create (&thread, NULL, tick_main, NULL) != 0)
     {
@@ -641,8 +646,8 @@
     }
   printf ("ready http=%s\n", rst_http_server_address (server));
   fflush (stdout);
-  rst_os_wait_stop ();
-  atomic_store (&store.stop, true);
+  rst_os_wait_stop_signal ();
+  atomic_store (&store.stop_requested, true);
   pthread_join (thread, NULL);
   rst_http_server_destroy (server);
   return EXIT_SUCCESS;
--- a/test/bench/measure.cc
+++ b/test/bench/measure.cc
@@ -43,7 +43,8 @@
 /* One point: idle or loaded cell of a shape; figures for one process, store
    calls for the whole cell. */
 void
-measure (const char *name, int value, const Shape &shape, const Load &load)
+measure_point (const char *name, int value, const ClusterConfig &shape,
+               const Load &load)
 {
   World world (shape, 7);
   double seconds = MEASURE_MS / 1000.0;
@@ -55,7 +56,7 @@
     world.submit (i, i % shape.teams, 1, 20, 200, 0, false);
   world.advance (load.services > 0 ? SETTLE_MS : 0);
   world.count_bytes = true;
-  world.engine_ns = 0;
+  world.state_machine_ns = 0;
   world.messages = 0;
   world.message_bytes = 0;
   reads = world.store_reads;
@@ -69,18 +70,19 @@
       world.advance (100);
     }
   printf ("%-12s %6d | %9.3f %9.1f %9.2f %9.1f %9.1f %8.1f\n", name, value,
-          (double)world.engine_ns / 1e9 / seconds / world.nodes () * 100,
+          (double)world.state_machine_ns / 1e9 / seconds / world.nodes ()
+              * 100,
           (double)world.messages / seconds / world.nodes (),
           (double)world.message_bytes / 1024 / seconds / world.nodes (),
           (double)(world.store_reads - reads) / seconds,
           (double)(world.store_writes - writes) / seconds,
-          (double)rst_os_resident_kb () / 1024);
+          (double)rst_os_resident_kib () / 1024);
 }
 
-Shape
-today ()
+ClusterConfig
+make_reference_cluster ()
 {
-  Shape shape;
+  ClusterConfig shape;
 
   shape.runners = 17;
   shape.workers = 17;
@@ -95,7 +97,7 @@
 void
 measure_decision (int runners)
 {
-  Shape shape = today ();
+  ClusterConfig shape = make_reference_cluster ();
   int requests = 3000;
 
   shape.zones = 1;
@@ -145,46 +147,46 @@
   print_header ();
   for (int instances : { 50, 275, 550, 1100 })
     {
-      Shape shape = today ();
+      ClusterConfig shape = make_reference_cluster ();
 
       shape.runners = instances / 6;
       shape.workers = instances / 6;
-      measure ("instances", instances, shape, Load ());
+      measure_point ("instances", instances, shape, Load ());
     }
   for (int teams : { 6, 50, 100, 200 })
     {
-      Shape shape = today ();
+      ClusterConfig shape = make_reference_cluster ();
 
       shape.teams = teams;
-      measure ("teams", teams, shape, Load ());
+      measure_point ("teams", teams, shape, Load ());
     }
   for (int schedulers : { 1, 2, 3, 5 })
     {
-      Shape shape = today ();
+      ClusterConfig shape = make_reference_cluster ();
 
       shape.schedulers = schedulers;
-      measure ("schedulers", schedulers * 3, shape, Load ());
+      measure_point ("schedulers", schedulers * 3, shape, Load ());
     }
   for (int services : { 0, 5, 10, 20 })
     {
       Load load;
 
       load.services = services;
-      measure ("tasks", services * 20, today (), load);
+      measure_point ("tasks", services * 20, make_reference_cluster (), load);
     }
   for (int queries : { 0, 100, 200, 400 })
     {
       Load load;
 
       load.queries_per_s = queries;
-      measure ("queries/s", queries, today (), load);
+      measure_point ("queries/s", queries, make_reference_cluster (), load);
     }
   for (int settings : { 0, 1, 5, 20 })
     {
       Load load;
 
       load.settings = settings;
-      measure ("settings/s", settings, today (), load);
+      measure_point ("settings/s", settings, make_reference_cluster (), load);
     }
   return 0;
 }
--- a/test/cell/world.cc
+++ b/test/cell/world.cc
@@ -236,7 +236,7 @@
 World::planner ()
 {
   for (auto &node : nodes)
-    if (node->node != nullptr && rst_cell_node_plans (node->node))
+    if (node->node != nullptr && rst_cell_node_is_planner (node->node))
       return node.get ();
   return nullptr;
 }
@@ -301,7 +301,8 @@
           [=, this] { deliver (node, life, event, end, data); });
       return;
     }
-  rst_cell_node_link (node->node, event, end, data.data (), data.size ());
+  rst_cell_node_handle_link_event (node->node, event, end, data.data (),
+                                   data.size ());
   tick (*node);
 }
 
--- a/test/fuzz/fuzz.cc
+++ b/test/fuzz/fuzz.cc
@@ -37,30 +37,30 @@
   RESUME,
   STOP,
   CUT_ZONES,
-  JOIN_ZONES,
+  RECONNECT_ZONES,
   CUT_STORE,
-  JOIN_STORE,
-  SILENCE,
+  RECONNECT_STORE,
+  SILENCE_LINK,
   STORE_DOWN,
   STORE_UP,
-  LOSE_ANSWERS,
+  LOSE_REPLIES,
   SLOW_CALLS,
-  DUPLICATES,
-  FAIR_WEATHER,
+  DUPLICATE_MESSAGES,
+  STOP_CALL_FAULTS,
   SET_LIMIT,
   WITHDRAW_KEY,
   ZONE_OUT,
   ZONE_IN,
-  LEAVING,
-  BACK,
-  FAILING,
-  SOUND,
-  REBOOT,
-  CALM,
-  KINDS,
+  INSTANCE_LEAVING,
+  INSTANCE_BACK,
+  INSTANCE_FAILING,
+  INSTANCE_RECOVERED,
+  REBOOT_INSTANCE,
+  QUIET_PERIOD,
+  KIND_COUNT,
 };
 
-const char *const kind_names[KINDS]
+const char *const kind_names[KIND_COUNT]
     = { "advance",      "request",      "repeat",       "submit",
         "cancel",       "crash",        "restart",      "pause",
         "resume",       "stop",         "cut-zones",    "join-zones",
@@ -85,7 +85,7 @@
 }
 
 rc::Gen<Command>
-any_command ()
+make_command_generator ()
 {
   using rc::gen::element;
   using rc::gen::just;
@@ -96,33 +96,37 @@
         { 5, just (REPEAT) },
         { 6, just (SUBMIT) },
         { 2, just (CANCEL) },
-        { 12, element (RESTART, RESUME, JOIN_ZONES, JOIN_STORE, STORE_UP,
-                       FAIR_WEATHER) },
-        { 7, element (CRASH, PAUSE, STOP, CUT_ZONES, CUT_STORE, SILENCE,
+        { 12, element (RESTART, RESUME, RECONNECT_ZONES, RECONNECT_STORE,
+                       STORE_UP, STOP_CALL_FAULTS) },
+        { 7, element (CRASH, PAUSE, STOP, CUT_ZONES, CUT_STORE, SILENCE_LINK,
                       STORE_DOWN) },
-        { 3, element (LOSE_ANSWERS, SLOW_CALLS, DUPLICATES) },
+        { 3, element (LOSE_REPLIES, SLOW_CALLS, DUPLICATE_MESSAGES) },
         { 4, element (SET_LIMIT, WITHDRAW_KEY) },
-        { 1, just (CALM) },
-        { 4, element (ZONE_IN, BACK, SOUND) },
-        { 2, element (ZONE_OUT, LEAVING, FAILING, REBOOT) } });
+        { 1, just (QUIET_PERIOD) },
+        { 4, element (ZONE_IN, INSTANCE_BACK, INSTANCE_RECOVERED) },
+        { 2, element (ZONE_OUT, INSTANCE_LEAVING, INSTANCE_FAILING,
+                      REBOOT_INSTANCE) } });
 
   return rc::gen::construct<Command> (kind, rc::gen::inRange (0, 10000),
                                       rc::gen::inRange (0, 10000));
 }
 
 /* Longest deadline and the time for which an answer is kept. */
-constexpr ms RECORD_WINDOW_MS = 130000;
+constexpr ms REQUEST_ID_RETENTION_MS = 130000;
 
 /* Longer than the oracle's time for changes after faults. */
-constexpr ms CALM_MS = 11000;
+constexpr ms QUIET_PERIOD_MS = 11000;
 
 /* A limit that lets all due work start. */
-constexpr int64_t LIMIT_AT_END = 400;
+constexpr int64_t FINAL_UPPER_LIMIT = 400;
 
-class Run
+class ScriptRun
 {
 public:
-  explicit Run (uint64_t seed, const Shape &shape) : world (shape, seed) {}
+  explicit ScriptRun (uint64_t seed, const ClusterConfig &shape)
+      : world (shape, seed)
+  {
+  }
 
   World world;
 
@@ -130,7 +134,7 @@
   int
   execute (const std::vector<Command> &commands, bool trace)
   {
-    int failed = execute_all (commands, trace);
+    int failed = execute_commands (commands, trace);
 
     if (failed >= 0 && trace)
       print_states ();
@@ -139,7 +143,7 @@
 
 private:
   int
-  execute_all (const std::vector<Command> &commands, bool trace)
+  execute_commands (const std::vector<Command> &commands, bool trace)
   {
     world.advance (8000);
     for (size_t i = 0; i < commands.size (); i++)
@@ -147,7 +151,7 @@
         if (trace)
           std::cout << "  " << i << " at " << world.now << ": " << commands[i]
                     << '\n';
-        step (commands[i]);
+        execute_command (commands[i]);
         world.advance (20 + commands[i].b % 80);
         if (!world.oracle.violations.empty ())
           return (int)i;
@@ -163,7 +167,7 @@
       if (value.first.compare (0, 7, "shared/") == 0)
         std::cout << value.first << ' ' << value.second.value << '\n';
     for (int i = 0; i < world.schedulers (); i++)
-      if (world.node (i)->alive ())
+      if (world.node (i)->is_alive ())
         {
           char *text = rst_scheduler_format_status (world.node (i)->scheduler);
 
@@ -173,7 +177,7 @@
   }
 
   void
-  step (const Command &c)
+  execute_command (const Command &c)
   {
     switch (c.kind)
       {
@@ -186,11 +190,12 @@
                          c.a % 4 == 0, c.a % 17 == 0 ? 1500 : 5 + c.a % 100,
                          200 + c.b % 5000);
         break;
-      case CALM:
-        calm (c);
+      case QUIET_PERIOD:
+        run_quiet_period (c);
         break;
       case REPEAT:
-        world.repeat (c.a, std::max (1, world.last_request () - c.b % 20));
+        world.repeat_request (c.a,
+                              std::max (1, world.last_request () - c.b % 20));
         break;
       case SUBMIT:
         world.submit (c.a, c.b % world.shape.teams,
@@ -201,10 +206,10 @@
                       c.a % 2 == 0);
         break;
       case CANCEL:
-        world.cancel (c.a, c.b);
+        world.cancel_job_by_index (c.a, c.b);
         break;
       default:
-        fault (c);
+        inject_fault (c);
         break;
       }
   }
@@ -212,39 +217,39 @@
   /* Faults heal, changes have their time, then work comes again: rules with
      a time bound apply to it. */
   void
-  calm (const Command &c)
+  run_quiet_period (const Command &c)
   {
     world.heal_faults ();
-    world.advance (CALM_MS);
+    world.advance (QUIET_PERIOD_MS);
     for (int t = 0; t < world.shape.teams; t++)
       {
         world.request (c.a + t, t, false, false, 10, 2000);
-        world.request_with_old_key (c.b + t, t);
+        world.send_request_with_withdrawn_key (c.b + t, t);
         world.submit (c.a + t, t, 0, 2, 500, 200, false);
       }
     world.advance (1000);
   }
 
   Node *
-  any_node (int which)
+  pick_node (int which)
   {
     return world.node (which % world.nodes ());
   }
 
   void
-  fault (const Command &c)
+  inject_fault (const Command &c)
   {
     switch (c.kind)
       {
       case CRASH:
-        world.crash (any_node (c.a));
+        world.crash (pick_node (c.a));
         break;
       case RESTART:
         for (int i = 0; i < world.nodes (); i++)
           world.restart (world.node (i));
         break;
       case PAUSE:
-        world.pause (any_node (c.a));
+        world.pause (pick_node (c.a));
         break;
       case RESUME:
         for (int i = 0; i < world.nodes (); i++)
@@ -254,43 +259,43 @@
         world.stop (world.node (c.a % world.schedulers ()));
         break;
       case CUT_ZONES:
-      case JOIN_ZONES:
+      case RECONNECT_ZONES:
         world.cut_zones (c.a % world.shape.zones, c.b % world.shape.zones,
                          c.kind == CUT_ZONES);
         break;
       case CUT_STORE:
-      case JOIN_STORE:
+      case RECONNECT_STORE:
         world.cut_store (c.a % world.shape.zones, c.kind == CUT_STORE);
         break;
-      case SILENCE:
-        world.silence_link ((uint64_t)c.a);
+      case SILENCE_LINK:
+        world.make_link_silent ((uint64_t)c.a);
         break;
       case STORE_DOWN:
       case STORE_UP:
         world.store_down (c.kind == STORE_DOWN);
         break;
       default:
-        weather_or_setting (c);
+        inject_call_fault_or_change_setting (c);
         break;
       }
   }
 
   void
-  weather_or_setting (const Command &c)
+  inject_call_fault_or_change_setting (const Command &c)
   {
     switch (c.kind)
       {
-      case LOSE_ANSWERS:
-        world.set_weather (c.a % 300, 0, 0);
+      case LOSE_REPLIES:
+        world.set_fault_rates (c.a % 300, 0, 0);
         break;
       case SLOW_CALLS:
-        world.set_weather (0, c.a % 200, 0);
+        world.set_fault_rates (0, c.a % 200, 0);
         break;
-      case DUPLICATES:
-        world.set_weather (0, 0, c.a % 300);
+      case DUPLICATE_MESSAGES:
+        world.set_fault_rates (0, 0, c.a % 300);
         break;
-      case FAIR_WEATHER:
-        world.set_weather (0, 0, 0);
+      case STOP_CALL_FAULTS:
+        world.set_fault_rates (0, 0, 0);
         break;
       case SET_LIMIT:
         world.set_limit (c.a % world.shape.teams, 4 + c.b % 40);
@@ -300,19 +305,19 @@
         break;
       case ZONE_OUT:
       case ZONE_IN:
-        world.set_zone (c.a % world.shape.zones, c.kind == ZONE_OUT,
-                        c.b % 2 == 0);
+        world.set_zone_state (c.a % world.shape.zones, c.kind == ZONE_OUT,
+                              c.b % 2 == 0);
         break;
-      case LEAVING:
-      case BACK:
-        world.set_leaving (c.a, c.kind == LEAVING);
+      case INSTANCE_LEAVING:
+      case INSTANCE_BACK:
+        world.set_instance_leaving (c.a, c.kind == INSTANCE_LEAVING);
         break;
-      case FAILING:
-      case SOUND:
-        world.set_failing (c.a, c.kind == FAILING);
+      case INSTANCE_FAILING:
+      case INSTANCE_RECOVERED:
+        world.set_instance_failing (c.a, c.kind == INSTANCE_FAILING);
         break;
-      case REBOOT:
-        world.reboot (c.a);
+      case REBOOT_INSTANCE:
+        world.reboot_instance (c.a);
         break;
       default:
         break;
@@ -323,34 +328,36 @@
   void
   check_liveness ()
   {
-    world.heal ();
+    world.heal_all ();
     for (int z = 0; z < world.shape.zones; z++)
-      world.set_zone (z, false, false);
+      world.set_zone_state (z, false, false);
     for (int t = 0; t < world.shape.teams; t++)
-      world.set_limit (t, LIMIT_AT_END);
+      world.set_limit (t, FINAL_UPPER_LIMIT);
     world.advance (30000);
     /* Services never end and would keep the places of due work. */
     for (int i = 0; i < 3; i++)
       {
-        world.cancel_services ();
+        world.cancel_all_services ();
         world.advance (10000);
       }
-    for (int i = 0; i < 120 && world.unfinished_jobs () > 0; i++)
+    for (int i = 0; i < 120 && world.count_unfinished_jobs () > 0; i++)
       world.advance (1000);
-    if (world.unfinished_jobs () > 0)
-      world.oracle.violate ("liveness",
-                            std::to_string (world.unfinished_jobs ())
-                                + " jobs have not ended",
-                            world.now);
-    if (world.pending_requests () > 0)
-      world.oracle.violate ("liveness",
-                            std::to_string (world.pending_requests ())
-                                + " requests have no outcome",
-                            world.now);
+    if (world.count_unfinished_jobs () > 0)
+      world.oracle.record_violation (
+          "liveness",
+          std::to_string (world.count_unfinished_jobs ())
+              + " jobs have not ended",
+          world.now);
+    if (world.pending_request_count () > 0)
+      world.oracle.record_violation (
+          "liveness",
+          std::to_string (world.pending_request_count ())
+              + " requests have no outcome",
+          world.now);
     check_requests (false);
     /* A request id whose home was lost is answered as unknown until no
        earlier run can be meant any more. */
-    world.advance (RECORD_WINDOW_MS);
+    world.advance (REQUEST_ID_RETENTION_MS);
     check_requests (true);
   }
 
@@ -365,11 +372,11 @@
         world.request (z, t, false, keyed, 20, 3000);
     world.advance (8000);
     if (world.answered - before != sent)
-      world.oracle.violate ("liveness",
-                            std::to_string (world.answered - before) + " of "
-                                + std::to_string (sent)
-                                + " requests were answered",
-                            world.now);
+      world.oracle.record_violation ("liveness",
+                                     std::to_string (world.answered - before)
+                                         + " of " + std::to_string (sent)
+                                         + " requests were answered",
+                                     world.now);
   }
 };
 
@@ -379,7 +386,7 @@
   std::cout << "account: " << world.answered << " answered, " << world.not_run
             << " not run, " << world.unknown << " unknown, "
             << world.oracle.runs () << " runs, "
-            << world.oracle.started_tasks () << " tasks started, "
+            << world.oracle.started_task_count () << " tasks started, "
             << world.store_writes << " store writes, " << world.store_reads
             << " store reads, " << world.messages << " messages, "
             << world.now / 1000 << " s\n";
@@ -387,10 +394,10 @@
 
 /* Runs a script in a world of its own. */
 static std::vector<Violation>
-violations_of (const std::vector<Command> &commands, uint64_t seed, bool trace,
-               bool account = false)
+run_script (const std::vector<Command> &commands, uint64_t seed, bool trace,
+            bool account = false)
 {
-  Run run (seed, Shape ());
+  ScriptRun run (seed, ClusterConfig ());
 
   run.execute (commands, trace);
   if (account)
@@ -398,29 +405,29 @@
   return run.world.oracle.violations;
 }
 
-constexpr int SHRINK_TRIES = 400;
+constexpr int MAX_SHRINK_ATTEMPTS = 400;
 
 /* The shortest script found that violates the same property. */
 static std::vector<Command>
 shrink (rc::Shrinkable<std::vector<Command> > failing, uint64_t seed,
         const std::string &property)
 {
-  int tries = 0;
+  int attempts = 0;
   bool progress = true;
 
-  while (progress && tries < SHRINK_TRIES)
+  while (progress && attempts < MAX_SHRINK_ATTEMPTS)
     {
       auto candidates = failing.shrinks ();
 
       progress = false;
-      while (tries < SHRINK_TRIES)
+      while (attempts < MAX_SHRINK_ATTEMPTS)
         {
           auto next = candidates.next ();
 
           if (!next)
             break;
-          tries++;
-          auto violations = violations_of (next->value (), seed, false);
+          attempts++;
+          auto violations = run_script (next->value (), seed, false);
 
           if (violations.empty () || violations[0].property != property)
             continue;
@@ -444,10 +451,10 @@
 fuzz_seed (uint64_t seed, int steps, bool trace, bool shrinking)
 {
   auto generator = rc::gen::container<std::vector<Command> > (
-      (std::size_t)steps, any_command ());
+      (std::size_t)steps, make_command_generator ());
   auto made = generator (rc::Random (seed), 100);
   std::vector<Violation> violations
-      = violations_of (made.value (), seed, trace, true);
+      = run_script (made.value (), seed, trace, true);
 
   if (!violations.empty ())
     {
@@ -459,7 +466,7 @@
           std::cout << "shrunk script of " << script.size () << " commands:\n";
           for (const auto &command : script)
             std::cout << "  " << command << '\n';
-          print_violations (violations_of (script, seed, false));
+          print_violations (run_script (script, seed, false));
         }
     }
   std::cout << "fuzz: seed " << seed << ", " << steps << " steps, "
--- a/test/fuzz/oracle.cc
+++ b/test/fuzz/oracle.cc
@@ -6,8 +6,8 @@
 {
 
 void
-Oracle::violate (const std::string &property, const std::string &detail,
-                 ms now)
+Oracle::record_violation (const std::string &property,
+                          const std::string &detail, ms now)
 {
   violations.push_back ({ property, detail, now });
 }
@@ -21,31 +21,31 @@
 }
 
 void
-Oracle::fault_begins (ms now)
+Oracle::begin_fault (ms now)
 {
-  faults_++;
-  calm_since_ = now;
+  active_fault_count_++;
+  last_fault_change_ = now;
 }
 
 void
-Oracle::fault_ends (ms now)
+Oracle::end_fault (ms now)
 {
-  faults_--;
-  calm_since_ = now;
+  active_fault_count_--;
+  last_fault_change_ = now;
 }
 
 /* Whether a change had its time without any fault in between. */
 bool
-Oracle::settled (ms since, ms now) const
+Oracle::has_taken_effect (ms since, ms now) const
 {
-  return faults_ == 0 && now - since > IN_FORCE_MS
-         && now - calm_since_ > 2 * IN_FORCE_MS;
+  return active_fault_count_ == 0 && now - since > MAX_PROPAGATION_MS
+         && now - last_fault_change_ > 2 * MAX_PROPAGATION_MS;
 }
 
 void
-Oracle::limit_set (const std::string &team, int64_t limit, ms now)
+Oracle::record_limit (const std::string &team, int64_t limit, ms now)
 {
-  int64_t before = std::max (allowed (team, now), limit);
+  int64_t before = std::max (max_running (team, now), limit);
   Limit &entry = limits_[team];
 
   entry.before = before;
@@ -54,27 +54,27 @@
 }
 
 void
-Oracle::key_granted (const std::string &team, const std::string &key)
+Oracle::record_key (const std::string &team, const std::string &key)
 {
   keys_[key] = team;
 }
 
 void
-Oracle::key_withdrawn (const std::string &key, ms now)
+Oracle::record_key_withdrawal (const std::string &key, ms now)
 {
-  withdrawn_[key] = now;
+  key_withdrawn_at_[key] = now;
 }
 
 void
-Oracle::zone_out (const std::string &zone, ms now)
+Oracle::record_zone_out (const std::string &zone, ms now)
 {
-  out_.emplace (zone, now);
+  zones_out_since_.emplace (zone, now);
 }
 
 void
-Oracle::zone_in (const std::string &zone)
+Oracle::record_zone_in (const std::string &zone)
 {
-  out_.erase (zone);
+  zones_out_since_.erase (zone);
 }
 
 void
@@ -102,49 +102,52 @@
   Request &entry = requests_[request];
 
   if (++entry.answers > entry.sends)
-    violate ("whole-answer", "request answered twice", now);
+    record_violation ("whole-answer", "request answered twice", now);
   entry.outcome = outcome;
   if (outcome == "answered"
       && body.find ("\"n\":" + std::to_string (request) + "}")
              == std::string::npos)
-    violate ("whole-answer",
-             "request " + std::to_string (request) + " got " + body, now);
+    record_violation ("whole-answer",
+                      "request " + std::to_string (request) + " got " + body,
+                      now);
   /* Of a repeated request, one sending may run and another be refused. */
   if (outcome == "not-run" && entry.runs > 0 && entry.sends == 1)
-    violate ("not-run-is-true",
-             "request " + std::to_string (request) + " ran and was refused",
-             now);
+    record_violation (
+        "not-run-is-true",
+        "request " + std::to_string (request) + " ran and was refused", now);
   if (outcome == "answered" && entry.runs == 0)
-    violate ("whole-answer", "answered without a run", now);
+    record_violation ("whole-answer", "answered without a run", now);
 }
 
 int64_t
-Oracle::allowed (const std::string &team, ms now) const
+Oracle::max_running (const std::string &team, ms now) const
 {
   auto found = limits_.find (team);
 
   if (found == limits_.end ())
     return 0;
-  return settled (found->second.changed_at, now) ? found->second.present
-                                                 : found->second.before;
+  return has_taken_effect (found->second.changed_at, now)
+             ? found->second.present
+             : found->second.before;
 }
 
 void
-Oracle::check_start (const std::string &name, const std::string &team, ms now)
+Oracle::check_start_is_allowed (const std::string &name,
+                                const std::string &team, ms now)
 {
   const Instance &instance = instances_[name];
-  auto out = out_.find (instance.zone);
+  auto out = zones_out_since_.find (instance.zone);
 
-  if (out != out_.end () && settled (out->second, now))
-    violate ("zone-out", "start on " + name, now);
+  if (out != zones_out_since_.end () && has_taken_effect (out->second, now))
+    record_violation ("zone-out", "start on " + name, now);
   if (instance.leaving_since >= 0
-      && settled (instance.leaving_since + LIST_LAG_MS, now))
-    violate ("leaving-endpoint", "start on " + name, now);
-  if (running_[team] > allowed (team, now))
-    violate ("upper-limit",
-             team + " has " + std::to_string (running_[team]) + " of "
-                 + std::to_string (allowed (team, now)),
-             now);
+      && has_taken_effect (instance.leaving_since + MAX_LIST_LAG_MS, now))
+    record_violation ("leaving-endpoint", "start on " + name, now);
+  if (running_per_team_[team] > max_running (team, now))
+    record_violation ("upper-limit",
+                      team + " has " + std::to_string (running_per_team_[team])
+                          + " of " + std::to_string (max_running (team, now)),
+                      now);
 }
 
 void
@@ -156,51 +159,52 @@
       || instance.used.cpu > instance.capacity.cpu
       || instance.used.memory > instance.capacity.memory
       || instance.used.accelerators > instance.capacity.accelerators)
-    violate ("overcommit", name, now);
+    record_violation ("overcommit", name, now);
 }
 
 void
-Oracle::run_started (const std::string &name, int request,
-                     const std::string &team, ms now)
+Oracle::record_run_start (const std::string &name, int request,
+                          const std::string &team, ms now)
 {
   Request &entry = requests_[request];
 
   runs_++;
   entry.runs++;
   instances_[name].used.slots++;
-  running_[team]++;
+  running_per_team_[team]++;
   check_capacity (name, now);
-  check_start (name, team, now);
+  check_start_is_allowed (name, team, now);
   if (entry.team != team)
-    violate ("key-decides-team",
-             "request of " + entry.team + " ran for " + team, now);
-  auto withdrawn = withdrawn_.find (entry.key);
-  if (withdrawn != withdrawn_.end ()
-      && entry.sent_at - withdrawn->second > IN_FORCE_MS
-      && settled (withdrawn->second, entry.sent_at))
-    violate ("withdrawn-key", "request " + std::to_string (request) + " ran",
-             now);
+    record_violation ("key-decides-team",
+                      "request of " + entry.team + " ran for " + team, now);
+  auto withdrawn = key_withdrawn_at_.find (entry.key);
+  if (withdrawn != key_withdrawn_at_.end ()
+      && entry.sent_at - withdrawn->second > MAX_PROPAGATION_MS
+      && has_taken_effect (withdrawn->second, entry.sent_at))
+    record_violation ("withdrawn-key",
+                      "request " + std::to_string (request) + " ran", now);
   if (!entry.idempotent && entry.runs > 1)
-    violate ("non-idempotent-once",
-             "request " + std::to_string (request) + " ran twice", now);
+    record_violation ("non-idempotent-once",
+                      "request " + std::to_string (request) + " ran twice",
+                      now);
   if (entry.answers > 0 && entry.outcome == "not-run" && entry.sends == 1)
-    violate ("not-run-is-true",
-             "request " + std::to_string (request)
-                 + " ran after it was refused",
-             now);
+    record_violation ("not-run-is-true",
+                      "request " + std::to_string (request)
+                          + " ran after it was refused",
+                      now);
 }
 
 void
-Oracle::run_ended (const std::string &name, const std::string &team)
+Oracle::record_run_end (const std::string &name, const std::string &team)
 {
   instances_[name].used.slots--;
-  running_[team]--;
+  running_per_team_[team]--;
 }
 
 void
-Oracle::task_started (const std::string &name, const std::string &team,
-                      const std::string &task, const Capacity &needs,
-                      bool run_once, ms now)
+Oracle::record_task_start (const std::string &name, const std::string &team,
+                           const std::string &task, const Capacity &needs,
+                           bool run_once, ms now)
 {
   Capacity &used = instances_[name].used;
 
@@ -208,95 +212,96 @@
   used.cpu += needs.cpu;
   used.memory += needs.memory;
   used.accelerators += needs.accelerators;
-  running_[team]++;
-  if (++tasks_running_[task] > 1)
-    violate ("task-in-two-places", task + " on " + name, now);
-  if (run_once && !once_started_.insert (task).second)
-    violate ("task-in-two-places", task + " must run once", now);
+  running_per_team_[team]++;
+  if (++running_per_task_[task] > 1)
+    record_violation ("task-in-two-places", task + " on " + name, now);
+  if (run_once && !started_run_once_tasks_.insert (task).second)
+    record_violation ("task-in-two-places", task + " must run once", now);
   check_capacity (name, now);
-  check_start (name, team, now);
+  check_start_is_allowed (name, team, now);
 }
 
 void
-Oracle::task_ended (const std::string &name, const std::string &team,
-                    const std::string &task, const Capacity &needs,
-                    bool checkpointed)
+Oracle::record_task_end (const std::string &name, const std::string &team,
+                         const std::string &task, const Capacity &needs,
+                         bool checkpointed)
 {
   Capacity &used = instances_[name].used;
 
   used.cpu -= needs.cpu;
   used.memory -= needs.memory;
   used.accelerators -= needs.accelerators;
-  running_[team]--;
-  tasks_running_[task]--;
+  running_per_team_[team]--;
+  running_per_task_[task]--;
   /* The next start goes on from the checkpoint: it is the same run. */
   if (checkpointed)
-    once_started_.erase (task);
+    started_run_once_tasks_.erase (task);
 }
 
 void
-Oracle::in_force (const std::string &process, const std::string &branch,
-                  uint64_t revision, ms now)
+Oracle::record_setting_in_force (const std::string &process,
+                                 const std::string &branch, uint64_t revision,
+                                 ms now)
 {
-  uint64_t &held = held_[process][branch];
+  uint64_t &held = revisions_in_force_[process][branch];
 
   if (revision < held)
-    violate ("settings-never-revert", process + " " + branch, now);
+    record_violation ("settings-never-revert", process + " " + branch, now);
   held = revision;
 }
 
 void
-Oracle::process_gone (const std::string &process)
+Oracle::record_process_end (const std::string &process)
 {
-  held_.erase (process);
-  stops_.erase (process);
+  revisions_in_force_.erase (process);
+  stops_requested_at_.erase (process);
 }
 
 void
 Oracle::stored (const std::string &branch, uint64_t revision, ms now)
 {
-  stored_[branch] = { revision, now };
+  stored_revisions_[branch] = { revision, now };
 }
 
 void
-Oracle::check_in_force (const std::string &process, ms now)
+Oracle::check_settings_in_force (const std::string &process, ms now)
 {
-  for (const auto &entry : stored_)
-    if (settled (entry.second.second, now)
-        && held_[process][entry.first] < entry.second.first)
-      violate ("settings-never-revert",
-               process + " lacks " + entry.first + " of revision "
-                   + std::to_string (entry.second.first),
-               now);
+  for (const auto &entry : stored_revisions_)
+    if (has_taken_effect (entry.second.second, now)
+        && revisions_in_force_[process][entry.first] < entry.second.first)
+      record_violation ("settings-never-revert",
+                        process + " lacks " + entry.first + " of revision "
+                            + std::to_string (entry.second.first),
+                        now);
 }
 
 void
-Oracle::stop_asked (const std::string &process, ms now)
+Oracle::record_stop_request (const std::string &process, ms now)
 {
-  stops_[process] = now;
+  stops_requested_at_[process] = now;
 }
 
 void
-Oracle::stop_done (const std::string &process, ms now)
+Oracle::record_stop_end (const std::string &process, ms now)
 {
   (void)now;
-  stops_.erase (process);
+  stops_requested_at_.erase (process);
 }
 
 void
 Oracle::check_stops (ms now)
 {
-  for (const auto &stop : stops_)
-    if (now - stop.second > STOP_MS)
-      violate ("planned-stop", stop.first + " goes on", now);
+  for (const auto &stop : stops_requested_at_)
+    if (now - stop.second > MAX_STOP_MS)
+      record_violation ("planned-stop", stop.first + " goes on", now);
 }
 
 int
 Oracle::running (const std::string &team) const
 {
-  auto found = running_.find (team);
+  auto found = running_per_team_.find (team);
 
-  return found != running_.end () ? found->second : 0;
+  return found != running_per_team_.end () ? found->second : 0;
 }
 
 }
--- a/test/fuzz/oracle.h
+++ b/test/fuzz/oracle.h
@@ -19,13 +19,13 @@
 using ms = int64_t;
 
 /* How long a change may take to be in force everywhere. */
-constexpr ms IN_FORCE_MS = 4000;
+constexpr ms MAX_PROPAGATION_MS = 4000;
 
 /* Lag of the list of instances. */
-constexpr ms LIST_LAG_MS = 1000;
+constexpr ms MAX_LIST_LAG_MS = 1000;
 
 /* Bound on a planned stop. */
-constexpr ms STOP_MS = 25000;
+constexpr ms MAX_STOP_MS = 25000;
 
 struct Violation
 {
@@ -66,32 +66,32 @@
                      const Capacity &capacity);
 
   /* Faults: while any is active, rules with a time bound do not apply. */
-  void fault_begins (ms now);
-  void fault_ends (ms now);
+  void begin_fault (ms now);
+  void end_fault (ms now);
   ms
-  calm_since () const
+  last_fault_change () const
   {
-    return calm_since_;
+    return last_fault_change_;
   }
   bool
-  calm () const
+  is_free_of_faults () const
   {
-    return faults_ == 0;
+    return active_fault_count_ == 0;
   }
 
   /* What operators did. */
-  void limit_set (const std::string &team, int64_t limit, ms now);
-  void key_granted (const std::string &team, const std::string &key);
-  void key_withdrawn (const std::string &key, ms now);
-  void zone_out (const std::string &zone, ms now);
-  void zone_in (const std::string &zone);
+  void record_limit (const std::string &team, int64_t limit, ms now);
+  void record_key (const std::string &team, const std::string &key);
+  void record_key_withdrawal (const std::string &key, ms now);
+  void record_zone_out (const std::string &zone, ms now);
+  void record_zone_in (const std::string &zone);
   void leaving (const std::string &instance, ms now);
   void back (const std::string &instance);
 
   /* What callers saw. */
   void sent (int request, const Request &what);
   void
-  repeated (int request)
+  record_repeat (int request)
   {
     requests_[request].sends++;
   }
@@ -99,31 +99,32 @@
                  const std::string &body, ms now);
 
   /* What instances saw. */
-  void run_started (const std::string &instance, int request,
-                    const std::string &team, ms now);
-  void run_ended (const std::string &instance, const std::string &team);
-  void task_started (const std::string &instance, const std::string &team,
-                     const std::string &task, const Capacity &needs,
-                     bool run_once, ms now);
-  void task_ended (const std::string &instance, const std::string &team,
-                   const std::string &task, const Capacity &needs,
-                   bool checkpointed);
+  void record_run_start (const std::string &instance, int request,
+                         const std::string &team, ms now);
+  void record_run_end (const std::string &instance, const std::string &team);
+  void record_task_start (const std::string &instance, const std::string &team,
+                          const std::string &task, const Capacity &needs,
+                          bool run_once, ms now);
+  void record_task_end (const std::string &instance, const std::string &team,
+                        const std::string &task, const Capacity &needs,
+                        bool checkpointed);
 
   /* What processes hold. */
-  void in_force (const std::string &process, const std::string &branch,
-                 uint64_t revision, ms now);
-  void process_gone (const std::string &process);
+  void record_setting_in_force (const std::string &process,
+                                const std::string &branch, uint64_t revision,
+                                ms now);
+  void record_process_end (const std::string &process);
   void stored (const std::string &branch, uint64_t revision, ms now);
-  void check_in_force (const std::string &process, ms now);
-  void stop_asked (const std::string &process, ms now);
-  void stop_done (const std::string &process, ms now);
+  void check_settings_in_force (const std::string &process, ms now);
+  void record_stop_request (const std::string &process, ms now);
+  void record_stop_end (const std::string &process, ms now);
   void check_stops (ms now);
 
-  void violate (const std::string &property, const std::string &detail,
-                ms now);
+  void record_violation (const std::string &property,
+                         const std::string &detail, ms now);
   int running (const std::string &team) const;
   int64_t
-  started_tasks () const
+  started_task_count () const
   {
     return started_tasks_;
   }
@@ -150,26 +151,26 @@
 
   std::map<std::string, Instance> instances_;
   std::map<std::string, Limit> limits_;
-  std::map<std::string, int> running_;
+  std::map<std::string, int> running_per_team_;
   std::map<std::string, std::string> keys_;
-  std::map<std::string, ms> withdrawn_;
-  std::map<std::string, ms> out_;
+  std::map<std::string, ms> key_withdrawn_at_;
+  std::map<std::string, ms> zones_out_since_;
   std::map<int, Request> requests_;
-  std::map<std::string, int> tasks_running_;
-  std::set<std::string> once_started_;
-  std::map<std::string, std::map<std::string, uint64_t> > held_;
-  std::map<std::string, std::pair<uint64_t, ms> > stored_;
-  std::map<std::string, ms> stops_;
-  int faults_ = 0;
-  ms calm_since_ = 0;
+  std::map<std::string, int> running_per_task_;
+  std::set<std::string> started_run_once_tasks_;
+  std::map<std::string, std::map<std::string, uint64_t> > revisions_in_force_;
+  std::map<std::string, std::pair<uint64_t, ms> > stored_revisions_;
+  std::map<std::string, ms> stops_requested_at_;
+  int active_fault_count_ = 0;
+  ms last_fault_change_ = 0;
   int64_t started_tasks_ = 0;
   int64_t runs_ = 0;
 
-  bool settled (ms since, ms now) const;
-  void check_start (const std::string &instance, const std::string &team,
-                    ms now);
+  bool has_taken_effect (ms since, ms now) const;
+  void check_start_is_allowed (const std::string &instance,
+                               const std::string &team, ms now);
   void check_capacity (const std::string &name, ms now);
-  int64_t allowed (const std::string &team, ms now) const;
+  int64_t max_running (const std::string &team, ms now) const;
 };
 
 }
--- a/test/fuzz/world.cc
+++ b/test/fuzz/world.cc
@@ -18,21 +18,21 @@
 namespace
 {
 
-constexpr ms STORE_TIMEOUT = 1000;
-constexpr ms INSTANCE_TIMEOUT = 900;
-constexpr ms SILENT_MS = 2500;
-constexpr ms SLOW_STORE_MS = 4000;
-constexpr ms SLOW_INSTANCE_MS = 700;
+constexpr ms STORE_TIMEOUT_MS = 1000;
+constexpr ms INSTANCE_TIMEOUT_MS = 900;
+constexpr ms SILENT_LINK_TIMEOUT_MS = 2500;
+constexpr ms MAX_STORE_DELAY_MS = 4000;
+constexpr ms MAX_INSTANCE_DELAY_MS = 700;
 
 /* Handle of a caller's request at an entry. */
-struct Handle
+struct RequestHandle
 {
   World *world;
   int request;
 };
 
 rst_ms
-node_clock (void *userdata)
+get_node_time (void *userdata)
 {
   Node *node = static_cast<Node *> (userdata);
 
@@ -40,7 +40,7 @@
 }
 
 Node *
-node_of (void *userdata)
+get_node (void *userdata)
 {
   return static_cast<Node *> (userdata);
 }
@@ -49,14 +49,15 @@
  * ------------------------------------------- */
 
 void
-p_get (void *u, const char *key, rst_platform_done done, void *data)
+platform_store_get (void *u, const char *key, rst_platform_done done,
+                    void *data)
 {
-  World *w = node_of (u)->world;
+  World *w = get_node (u)->world;
   std::string k = key;
 
   w->store_reads++;
   w->call (
-      node_of (u), "", true, STORE_TIMEOUT,
+      get_node (u), "", true, STORE_TIMEOUT_MS,
       [w, k] (std::function<void (Reply)>, bool *) {
         return w->store_get (k);
       },
@@ -64,14 +65,15 @@
 }
 
 void
-p_list (void *u, const char *prefix, rst_platform_done done, void *data)
+platform_store_list (void *u, const char *prefix, rst_platform_done done,
+                     void *data)
 {
-  World *w = node_of (u)->world;
+  World *w = get_node (u)->world;
   std::string p = prefix;
 
   w->store_reads++;
   w->call (
-      node_of (u), "", true, STORE_TIMEOUT,
+      get_node (u), "", true, STORE_TIMEOUT_MS,
       [w, p] (std::function<void (Reply)>, bool *) {
         return w->store_list (p);
       },
@@ -79,16 +81,17 @@
 }
 
 void
-p_put (void *u, const char *key, const char *value, int64_t expected,
-       uint64_t lease, rst_platform_done done, void *data)
+platform_store_put (void *u, const char *key, const char *value,
+                    int64_t expected, uint64_t lease, rst_platform_done done,
+                    void *data)
 {
-  World *w = node_of (u)->world;
+  World *w = get_node (u)->world;
   std::string k = key;
   std::string v = value;
 
   w->store_writes++;
   w->call (
-      node_of (u), "", true, STORE_TIMEOUT,
+      get_node (u), "", true, STORE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
         return w->store_put (k, v, expected, lease);
       },
@@ -96,15 +99,15 @@
 }
 
 void
-p_delete (void *u, const char *key, int64_t expected, rst_platform_done done,
-          void *data)
+platform_store_delete (void *u, const char *key, int64_t expected,
+                       rst_platform_done done, void *data)
 {
-  World *w = node_of (u)->world;
+  World *w = get_node (u)->world;
   std::string k = key;
 
   w->store_writes++;
   w->call (
-      node_of (u), "", true, STORE_TIMEOUT,
+      get_node (u), "", true, STORE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
         return w->store_delete (k, expected);
       },
@@ -112,60 +115,61 @@
 }
 
 void
-p_watch (void *u, const char *prefix, uint64_t after, rst_ms wait,
-         rst_platform_done done, void *data)
+platform_store_watch (void *u, const char *prefix, uint64_t after, rst_ms wait,
+                      rst_platform_done done, void *data)
 {
-  World *w = node_of (u)->world;
+  World *w = get_node (u)->world;
   std::string p = prefix;
 
   w->store_reads++;
   w->call (
-      node_of (u), "", true, STORE_TIMEOUT + wait,
+      get_node (u), "", true, STORE_TIMEOUT_MS + wait,
       [=] (std::function<void (Reply)> later, bool *deferred) {
-        Reply reply = w->changes_after (p, after);
+        Reply reply = w->store_changes_after (p, after);
 
         if (!reply.kvs.empty ())
           return reply;
         *deferred = true;
-        w->watches.push_back ({ p, after, later });
-        w->at (wait, [=] { later (w->changes_after (p, after)); });
+        w->store_watches.push_back ({ p, after, later });
+        w->at (wait, [=] { later (w->store_changes_after (p, after)); });
         return reply;
       },
       done, data);
 }
 
 void
-p_grant (void *u, rst_ms ttl, rst_platform_done done, void *data)
+platform_lease_grant (void *u, rst_ms ttl, rst_platform_done done, void *data)
 {
-  World *w = node_of (u)->world;
+  World *w = get_node (u)->world;
 
   w->store_writes++;
   w->call (
-      node_of (u), "", true, STORE_TIMEOUT,
+      get_node (u), "", true, STORE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
         Reply reply;
 
-        reply.revision = w->next_lease++;
-        w->leases[reply.revision] = { ttl, w->now + ttl };
+        reply.revision = w->next_lease_id++;
+        w->store_leases[reply.revision] = { ttl, w->now + ttl };
         return reply;
       },
       done, data);
 }
 
 void
-p_keep (void *u, uint64_t lease, rst_platform_done done, void *data)
+platform_lease_renew (void *u, uint64_t lease, rst_platform_done done,
+                      void *data)
 {
-  World *w = node_of (u)->world;
+  World *w = get_node (u)->world;
 
   w->store_writes++;
   w->call (
-      node_of (u), "", true, STORE_TIMEOUT,
+      get_node (u), "", true, STORE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
         Reply reply;
-        auto found = w->leases.find (lease);
+        auto found = w->store_leases.find (lease);
 
         reply.revision = lease;
-        if (found == w->leases.end ())
+        if (found == w->store_leases.end ())
           reply.result = RST_PLATFORM_NOT_FOUND;
         else
           found->second.expires_at = w->now + found->second.ttl;
@@ -175,17 +179,18 @@
 }
 
 void
-p_drop (void *u, uint64_t lease, rst_platform_done done, void *data)
+platform_lease_revoke (void *u, uint64_t lease, rst_platform_done done,
+                       void *data)
 {
-  World *w = node_of (u)->world;
+  World *w = get_node (u)->world;
 
   w->store_writes++;
   w->call (
-      node_of (u), "", true, STORE_TIMEOUT,
+      get_node (u), "", true, STORE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
-        auto found = w->leases.find (lease);
+        auto found = w->store_leases.find (lease);
 
-        if (found != w->leases.end ())
+        if (found != w->store_leases.end ())
           found->second.expires_at = w->now;
         return Reply ();
       },
@@ -193,16 +198,17 @@
 }
 
 void
-p_instances (void *u, uint64_t after, rst_platform_done done, void *data)
+platform_list_instances (void *u, uint64_t after, rst_platform_done done,
+                         void *data)
 {
-  World *w = node_of (u)->world;
-  uint64_t listed = w->list_revision;
+  World *w = get_node (u)->world;
+  uint64_t listed = w->instance_list_revision;
   std::vector<struct rst_instance_info> infos;
 
   for (int i = 0; i < w->instances (); i++)
     infos.push_back (w->instance (i).info);
   w->call (
-      node_of (u), "", true, STORE_TIMEOUT,
+      get_node (u), "", true, STORE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
         Reply reply;
 
@@ -215,7 +221,7 @@
 }
 
 Reply
-fenced ()
+make_fenced_reply ()
 {
   Reply reply;
 
@@ -224,7 +230,7 @@
 }
 
 Reply
-refused ()
+make_rejected_reply ()
 {
   Reply reply;
 
@@ -235,7 +241,7 @@
 
 /* The number that a request's body carries. */
 int
-number_in (const std::string &body)
+parse_request_number (const std::string &body)
 {
   size_t at = body.find ("\"n\":");
 
@@ -243,7 +249,7 @@
 }
 
 ms
-run_time_in (const std::string &body)
+parse_run_ms (const std::string &body)
 {
   size_t at = body.find ("\"ms\":");
 
@@ -251,12 +257,13 @@
 }
 
 void
-p_run (void *u, const char *address, const struct rst_run *run,
-       rst_platform_done done, void *data)
+platform_run_query (void *u, const char *address,
+                    const struct rst_query_request *run,
+                    rst_platform_done done, void *data)
 {
-  Node *node = node_of (u);
+  Node *node = get_node (u);
   World *w = node->world;
-  FakeInstance *instance = w->by_address (address);
+  FakeInstance *instance = w->find_instance (address);
   std::string body (run->body, run->length);
   std::string team = run->team;
   std::string id = run->id;
@@ -267,23 +274,24 @@
       node, instance->info.zone, false, deadline,
       [=] (std::function<void (Reply)> later, bool *deferred) {
         static uint64_t number = 0;
-        int request = number_in (body);
-        ms time = std::min (run_time_in (body), deadline);
+        int request = parse_request_number (body);
+        ms time = std::min (parse_run_ms (body), deadline);
         uint64_t slot = ++number;
 
         if (epoch < instance->epoch)
-          return fenced ();
+          return make_fenced_reply ();
         instance->epoch = epoch;
         if (instance->failing)
-          return refused ();
+          return make_rejected_reply ();
         instance->runs[slot] = { request, id, team };
-        w->oracle.run_started (instance->info.name, request, team, w->now);
+        w->oracle.record_run_start (instance->info.name, request, team,
+                                    w->now);
         *deferred = true;
         w->at (time, [=] {
           Reply reply;
 
           instance->runs.erase (slot);
-          w->oracle.run_ended (instance->info.name, team);
+          w->oracle.record_run_end (instance->info.name, team);
           reply.body = "{\"n\":" + std::to_string (request) + "}";
           later (reply);
         });
@@ -293,11 +301,11 @@
 }
 
 void
-report_work (FakeInstance *instance, Reply *reply)
+append_runs (FakeInstance *instance, Reply *reply)
 {
   for (const auto &run : instance->runs)
     {
-      struct rst_work work = {};
+      struct rst_run_info work = {};
 
       g_strlcpy (work.id, run.second.id.c_str (), sizeof work.id);
       g_strlcpy (work.team, run.second.team.c_str (), sizeof work.team);
@@ -309,28 +317,28 @@
 }
 
 void
-p_inspect (void *u, const char *address, uint64_t epoch,
-           rst_platform_done done, void *data)
+platform_inspect (void *u, const char *address, uint64_t epoch,
+                  rst_platform_done done, void *data)
 {
-  Node *node = node_of (u);
-  FakeInstance *instance = node->world->by_address (address);
+  Node *node = get_node (u);
+  FakeInstance *instance = node->world->find_instance (address);
 
   node->world->call (
-      node, instance->info.zone, false, INSTANCE_TIMEOUT,
+      node, instance->info.zone, false, INSTANCE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
         Reply reply;
 
         if (epoch < instance->epoch)
-          return fenced ();
+          return make_fenced_reply ();
         instance->epoch = epoch;
-        report_work (instance, &reply);
+        append_runs (instance, &reply);
         return reply;
       },
       done, data);
 }
 
 Capacity
-needs_of (const struct rst_work &work)
+get_task_needs (const struct rst_run_info &work)
 {
   Capacity needs;
 
@@ -341,20 +349,20 @@
 }
 
 std::string
-task_name (const struct rst_work &work)
+format_task_name (const struct rst_run_info &work)
 {
   return std::string (work.job) + "." + std::to_string (work.index);
 }
 
 void
-p_start (void *u, const char *address, uint64_t epoch,
-         const struct rst_work *task, rst_ms lease, rst_ms not_after,
-         rst_platform_done done, void *data)
+platform_start_task (void *u, const char *address, uint64_t epoch,
+                     const struct rst_run_info *task, rst_ms lease,
+                     rst_ms not_after, rst_platform_done done, void *data)
 {
-  Node *node = node_of (u);
+  Node *node = get_node (u);
   World *w = node->world;
-  FakeInstance *instance = w->by_address (address);
-  struct rst_work work = *task;
+  FakeInstance *instance = w->find_instance (address);
+  struct rst_run_info work = *task;
 
   if (w->node_time (node) >= not_after)
     {
@@ -370,13 +378,13 @@
       return;
     }
   w->call (
-      node, instance->info.zone, false, INSTANCE_TIMEOUT,
+      node, instance->info.zone, false, INSTANCE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
         FakeTask fake;
         Reply refusal;
 
         if (epoch < instance->epoch)
-          return fenced ();
+          return make_fenced_reply ();
         instance->epoch = epoch;
         refusal.result = RST_PLATFORM_REFUSED;
         if (instance->tombstones.count (work.id) > 0)
@@ -389,63 +397,65 @@
         fake.ends_at = work.run_ms > 0 ? w->now + work.run_ms : INT64_MAX;
         if (instance->failing)
           fake.ends_at = w->now + 5;
-        fake.lease_until = w->now + lease;
+        fake.lease_expires_at = w->now + lease;
         instance->tasks[work.id] = fake;
-        w->oracle.task_started (instance->info.name, work.team,
-                                task_name (work), needs_of (work),
-                                fake.run_once, w->now);
+        w->oracle.record_task_start (
+            instance->info.name, work.team, format_task_name (work),
+            get_task_needs (work), fake.run_once, w->now);
         return Reply ();
       },
       done, data);
 }
 
 void
-p_renew (void *u, const char *address, uint64_t epoch, rst_ms lease,
-         const char *const *seen, rst_platform_done done, void *data)
+platform_renew_tasks (void *u, const char *address, uint64_t epoch,
+                      rst_ms lease, const char *const *seen,
+                      rst_platform_done done, void *data)
 {
-  Node *node = node_of (u);
+  Node *node = get_node (u);
   World *w = node->world;
-  FakeInstance *instance = w->by_address (address);
+  FakeInstance *instance = w->find_instance (address);
   std::vector<std::string> ids;
 
   for (int i = 0; seen[i] != nullptr; i++)
     ids.push_back (seen[i]);
   w->call (
-      node, instance->info.zone, false, INSTANCE_TIMEOUT,
+      node, instance->info.zone, false, INSTANCE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
         Reply reply;
 
         if (epoch < instance->epoch)
-          return fenced ();
+          return make_fenced_reply ();
         instance->epoch = epoch;
         for (const auto &id : ids)
           if (instance->tasks.count (id) > 0 && !instance->tasks[id].running)
             instance->tasks.erase (id);
         for (auto &task : instance->tasks)
-          task.second.lease_until = w->now + lease;
-        report_work (instance, &reply);
+          task.second.lease_expires_at = w->now + lease;
+        append_runs (instance, &reply);
         return reply;
       },
       done, data);
 }
 
 void
-p_stop (void *u, const char *address, uint64_t epoch, const char *id,
-        bool checkpoint, rst_platform_done done, void *data)
+platform_stop_task (void *u, const char *address, uint64_t epoch,
+                    const char *id, bool checkpoint, rst_platform_done done,
+                    void *data)
 {
-  Node *node = node_of (u);
+  Node *node = get_node (u);
   World *w = node->world;
-  FakeInstance *instance = w->by_address (address);
+  FakeInstance *instance = w->find_instance (address);
   std::string name = id;
 
   w->call (
-      node, instance->info.zone, false, INSTANCE_TIMEOUT,
+      node, instance->info.zone, false, INSTANCE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
         Reply reply;
         auto found = instance->tasks.find (name);
 
         if (epoch < instance->epoch)
-          return fenced ();
+          return make_fenced_reply ();
         instance->epoch = epoch;
         if (found == instance->tasks.end ())
           {
@@ -463,33 +473,36 @@
 }
 
 const struct rst_platform platform
-    = { p_get,  p_list,      p_put, p_delete,  p_watch, p_grant, p_keep,
-        p_drop, p_instances, p_run, p_inspect, p_start, p_renew, p_stop };
+    = { platform_store_get,    platform_store_list,   platform_store_put,
+        platform_store_delete, platform_store_watch,  platform_lease_grant,
+        platform_lease_renew,  platform_lease_revoke, platform_list_instances,
+        platform_run_query,    platform_inspect,      platform_start_task,
+        platform_renew_tasks,  platform_stop_task };
 
 uint64_t
-l_connect (void *u, const char *address)
+link_connect (void *u, const char *address)
 {
-  return node_of (u)->world->connect (node_of (u), address);
+  return get_node (u)->world->connect (get_node (u), address);
 }
 
 bool
-l_send (void *u, uint64_t link, const struct rst_message *message)
+link_send (void *u, uint64_t link, const struct rst_message *message)
 {
-  return node_of (u)->world->send (node_of (u), link, message);
+  return get_node (u)->world->send (get_node (u), link, message);
 }
 
 void
-l_close (void *u, uint64_t link)
+link_close (void *u, uint64_t link)
 {
-  node_of (u)->world->close (node_of (u), link);
+  get_node (u)->world->close (get_node (u), link);
 }
 
-const struct rst_link_ops links = { l_connect, l_send, l_close };
+const struct rst_link_ops links = { link_connect, link_send, link_close };
 
 void
-on_answer (void *handle, const struct rst_entry_reply *reply)
+handle_entry_reply (void *handle, const struct rst_entry_reply *reply)
 {
-  Handle *h = static_cast<Handle *> (handle);
+  RequestHandle *h = static_cast<RequestHandle *> (handle);
 
   h->world->answer (h->request, reply);
   delete h;
@@ -503,7 +516,7 @@
 void
 World::at (ms delay, std::function<void ()> what)
 {
-  events_.push ({ now + delay, ++order_, std::move (what) });
+  events_.push ({ now + delay, ++last_event_sequence_, std::move (what) });
 }
 
 void
@@ -523,21 +536,21 @@
 }
 
 int
-World::pick (int bound)
+World::random_below (int bound)
 {
   return bound > 0 ? (int)(random () % (uint64_t)bound) : 0;
 }
 
 bool
-World::chance (int in_a_thousand)
+World::random_permille (int permille)
 {
-  return pick (1000) < in_a_thousand;
+  return random_below (1000) < permille;
 }
 
 ms
 World::node_time (const Node *node) const
 {
-  return 1000 + (ms)((double)(now - node->born) * node->rate);
+  return 1000 + (ms)((double)(now - node->started_at) * node->clock_rate);
 }
 
 std::string
@@ -564,30 +577,30 @@
 /* Adds the processor's time of a call into a state machine, the fakes that
    it calls included. */
 void
-World::timed (const std::function<void ()> &what)
+World::run_timed (const std::function<void ()> &what)
 {
   auto before = std::chrono::steady_clock::now ();
 
   what ();
-  engine_ns += std::chrono::duration_cast<std::chrono::nanoseconds> (
-                   std::chrono::steady_clock::now () - before)
-                   .count ();
+  state_machine_ns += std::chrono::duration_cast<std::chrono::nanoseconds> (
+                          std::chrono::steady_clock::now () - before)
+                          .count ();
 }
 
 /* Runs something on a process, later if it is paused, never if it is gone. */
 void
 World::deliver (Node *node, int life, std::function<void ()> what)
 {
-  if (node->life != life || !node->alive ())
+  if (node->life != life || !node->is_alive ())
     return;
   if (node->paused)
     node->deferred.push_back (std::move (what));
   else
-    timed (what);
+    run_timed (what);
 }
 
 void
-World::observe (Node *node)
+World::report_settings (Node *node)
 {
   struct Context
   {
@@ -598,13 +611,13 @@
       = node->is_entry ? rst_entry_get_settings (node->entry)
                        : rst_scheduler_get_settings (node->scheduler);
 
-  rst_settings_visit (
+  rst_settings_visit_branches (
       settings,
       [] (const char *key, uint64_t revision, const char *, void *userdata) {
         Context *c = static_cast<Context *> (userdata);
 
-        c->world->oracle.in_force (c->node->name, key, revision,
-                                   c->world->now);
+        c->world->oracle.record_setting_in_force (c->node->name, key, revision,
+                                                  c->world->now);
       },
       &context);
 }
@@ -614,11 +627,11 @@
 {
   int life = node->life;
 
-  if (!node->alive ())
+  if (!node->is_alive ())
     return;
   if (!node->paused)
     {
-      timed ([node] {
+      run_timed ([node] {
         if (node->is_entry)
           rst_entry_tick (node->entry);
         else
@@ -627,7 +640,7 @@
       if (node->scheduler != nullptr
           && rst_scheduler_is_stopped (node->scheduler))
         {
-          oracle.stop_done (node->name, now);
+          oracle.record_stop_end (node->name, now);
           node->stopping = false;
           crash (node);
           at (500, [this, node] { restart (node); });
@@ -645,8 +658,8 @@
 {
   fault ("down " + node->name, false);
   node->life++;
-  node->born = now - 1000 * pick (50);
-  node->rate = 0.99 + 0.02 * (double)pick (100) / 100;
+  node->started_at = now - 1000 * random_below (50);
+  node->clock_rate = 0.99 + 0.02 * (double)random_below (100) / 100;
   node->paused = false;
   if (node->is_entry)
     {
@@ -655,10 +668,11 @@
       g_strlcpy (config.name, node->name.c_str (), RST_NAME_SIZE);
       g_strlcpy (config.zone, node->zone.c_str (), RST_NAME_SIZE);
       g_strlcpy (config.address, node->address.c_str (), RST_ADDRESS_SIZE);
-      config.clock = { node_clock, node };
+      config.clock = { get_node_time, node };
       config.seed = random ();
       config.max_pending = 10000;
-      node->entry = rst_entry_create (&config, &links, node, on_answer);
+      node->entry
+          = rst_entry_create (&config, &links, node, handle_entry_reply);
       for (int i = 0; i < schedulers (); i++)
         if (nodes_[i]->zone == node->zone)
           rst_entry_add_seed_address (node->entry,
@@ -674,7 +688,7 @@
       config.tenure = { 4500, 300, 3000, 5000 };
       config.task_lease_ms = 6000;
       config.list_interval_ms = 500;
-      config.clock = { node_clock, node };
+      config.clock = { get_node_time, node };
       config.seed = random ();
       node->scheduler
           = rst_scheduler_create (&config, &platform, node, &links, node);
@@ -689,26 +703,26 @@
 void
 World::crash (Node *node)
 {
-  if (!node->alive ())
+  if (!node->is_alive ())
     return;
   node->stopping = false;
   if (node->paused)
     resume (node);
   fault ("down " + node->name, true);
-  node->dying = true;
+  node->is_being_destroyed = true;
   for (auto &link : links_)
     for (int side = 0; side < 2; side++)
       if (link.second->side[side] == node && link.second->open)
-        close_link (link.second, 1 + pick (3));
+        close_link (link.second, 1 + random_below (3));
   node->life++;
-  while (!node->outstanding.empty ())
+  while (!node->pending_calls.empty ())
     {
-      auto first = node->outstanding.begin ();
+      auto first = node->pending_calls.begin ();
       auto end = first->second;
       Reply reply;
 
       reply.result = RST_PLATFORM_UNKNOWN;
-      node->outstanding.erase (first);
+      node->pending_calls.erase (first);
       end (reply);
     }
   if (node->is_entry)
@@ -718,24 +732,24 @@
   node->entry = nullptr;
   node->scheduler = nullptr;
   node->deferred.clear ();
-  node->dying = false;
-  oracle.process_gone (node->name);
+  node->is_being_destroyed = false;
+  oracle.record_process_end (node->name);
 }
 
 void
 World::restart (Node *node)
 {
-  if (!node->alive ())
+  if (!node->is_alive ())
     start_node (node);
 }
 
 void
 World::pause (Node *node)
 {
-  if (!node->alive () || node->paused)
+  if (!node->is_alive () || node->paused)
     return;
   node->paused = true;
-  oracle.stop_done (node->name, now);
+  oracle.record_stop_end (node->name, now);
   fault ("pause " + node->name, true);
 }
 
@@ -752,17 +766,17 @@
   for (auto &what : deferred)
     what ();
   /* A stop's time runs while the process does. */
-  if (node->stopping && node->alive ())
-    oracle.stop_asked (node->name, now);
+  if (node->stopping && node->is_alive ())
+    oracle.record_stop_request (node->name, now);
 }
 
 void
 World::stop (Node *node)
 {
-  if (!node->alive () || node->is_entry || node->stopping || node->paused)
+  if (!node->is_alive () || node->is_entry || node->stopping || node->paused)
     return;
   node->stopping = true;
-  oracle.stop_asked (node->name, now);
+  oracle.record_stop_request (node->name, now);
   rst_scheduler_begin_stop (node->scheduler);
 }
 
@@ -771,12 +785,12 @@
  */
 
 bool
-World::zones_cut (const std::string &a, const std::string &b) const
+World::are_zones_cut (const std::string &a, const std::string &b) const
 {
   int x = zone_index (a);
   int y = zone_index (b);
 
-  return cut_zones_.count ({ std::min (x, y), std::max (x, y) }) > 0;
+  return zone_pairs_cut_.count ({ std::min (x, y), std::max (x, y) }) > 0;
 }
 
 uint64_t
@@ -785,10 +799,10 @@
   auto link = std::make_shared<Link> ();
   Node *to = nullptr;
 
-  if (from->dying)
+  if (from->is_being_destroyed)
     return 0;
   for (auto &node : nodes_)
-    if (node->address == address && node->alive ())
+    if (node->address == address && node->is_alive ())
       to = node.get ();
   link->side[0] = from;
   link->side[1] = to;
@@ -796,7 +810,7 @@
   link->life[1] = to != nullptr ? to->life : 0;
   link->id[0] = ++next_link_;
   link->id[1] = ++next_link_;
-  if (to == nullptr || zones_cut (from->zone, to->zone))
+  if (to == nullptr || are_zones_cut (from->zone, to->zone))
     {
       uint64_t id = link->id[0];
       int life = from->life;
@@ -813,7 +827,7 @@
     }
   links_[link->id[0]] = link;
   links_[link->id[1]] = link;
-  at (1 + pick (3), [this, link] {
+  at (1 + random_below (3), [this, link] {
     link->open = true;
     for (int side = 1; side >= 0; side--)
       {
@@ -872,7 +886,7 @@
 /* Requests and answers may be doubled or late; what TCP's order protects may
    not. */
 static bool
-may_be_doubled (uint64_t type)
+may_be_duplicated (uint64_t type)
 {
   return type == RST_QUERY || type == RST_ANSWER || type >= RST_JOB_CALL;
 }
@@ -885,7 +899,7 @@
   int to;
   int copies = 1;
 
-  if (found == links_.end () || from->dying)
+  if (found == links_.end () || from->is_being_destroyed)
     return false;
   link = found->second;
   messages++;
@@ -898,14 +912,15 @@
       rst_blob_free (&frame);
     }
   to = link->id[0] == id ? 1 : 0;
-  if (link->silent || zones_cut (link->side[0]->zone, link->side[1]->zone))
+  if (link->silent || are_zones_cut (link->side[0]->zone, link->side[1]->zone))
     {
-      close_link (link, SILENT_MS);
+      close_link (link, SILENT_LINK_TIMEOUT_MS);
       return true;
     }
   if (link->side[to]->paused)
-    close_link (link, SILENT_MS);
-  if (may_be_doubled (message->type) && chance (weather.duplicate))
+    close_link (link, SILENT_LINK_TIMEOUT_MS);
+  if (may_be_duplicated (message->type)
+      && random_permille (weather.duplicate_permille))
     copies = 2;
   for (int i = 0; i < copies; i++)
     {
@@ -914,7 +929,7 @@
             rst_message_clear (owned);
             delete owned;
           });
-      ms delay = 1 + pick (3) + (i > 0 ? pick (200) : 0);
+      ms delay = 1 + random_below (3) + (i > 0 ? random_below (200) : 0);
       ms due = now + delay;
 
       rst_message_copy (message, copy.get ());
@@ -944,7 +959,8 @@
  * ------------------------------------------------------------- */
 
 static void
-tell (rst_platform_done done, void *data, const Reply &reply, ms sent_at)
+complete_platform_call (rst_platform_done done, void *data, const Reply &reply,
+                        ms sent_at)
 {
   struct rst_platform_reply out = {};
   std::vector<struct rst_kv> kvs (reply.kvs.size ());
@@ -965,8 +981,8 @@
   out.kv_count = (int)kvs.size ();
   out.instances = copy.instances.data ();
   out.instance_count = (int)copy.instances.size ();
-  out.work = copy.work.data ();
-  out.work_count = (int)copy.work.size ();
+  out.runs = copy.work.data ();
+  out.run_count = (int)copy.work.size ();
   out.body = copy.body.c_str ();
   out.length = copy.body.size ();
   done (&out, data);
@@ -980,44 +996,45 @@
   uint64_t number = next_call_++;
   int life = from->life;
   ms sent_at = node_time (from);
-  bool cut = store ? cut_store_.count (zone_index (from->zone)) > 0
+  bool cut = store ? zones_cut_from_store_.count (zone_index (from->zone)) > 0
                          || from->cut_from_store
-                   : zones_cut (from->zone, zone);
-  bool slow = chance (weather.slow_call);
-  ms there = 1 + pick (3);
-  ms back = 1 + pick (3);
-  bool lost = chance (weather.lose_answer);
+                   : are_zones_cut (from->zone, zone);
+  bool slow = random_permille (weather.slow_call_permille);
+  ms there = 1 + random_below (3);
+  ms back = 1 + random_below (3);
+  bool lost = random_permille (weather.lose_reply_permille);
 
   if (slow)
-    there += pick ((int)(store ? SLOW_STORE_MS : SLOW_INSTANCE_MS));
-  bool unsent = from->dying;
+    there += random_below (
+        (int)(store ? MAX_STORE_DELAY_MS : MAX_INSTANCE_DELAY_MS));
+  bool unsent = from->is_being_destroyed;
 
-  from->outstanding[number] = [=] (const Reply &reply) {
+  from->pending_calls[number] = [=] (const Reply &reply) {
     Reply said = reply;
 
     if (unsent)
       said.result = RST_PLATFORM_NOT_SENT;
-    tell (done, data, said, sent_at);
+    complete_platform_call (done, data, said, sent_at);
   };
   auto finish = [=] (Reply reply) {
     deliver (from, life, [=] {
-      auto found = from->outstanding.find (number);
+      auto found = from->pending_calls.find (number);
 
-      if (found == from->outstanding.end ())
+      if (found == from->pending_calls.end ())
         return;
       auto end = found->second;
 
-      from->outstanding.erase (found);
+      from->pending_calls.erase (found);
       end (reply);
     });
   };
   Reply failed;
 
   failed.status = 0;
-  failed.result = from->dying           ? RST_PLATFORM_NOT_SENT
-                  : cut && chance (500) ? RST_PLATFORM_NOT_SENT
-                                        : RST_PLATFORM_UNKNOWN;
-  if (from->dying)
+  failed.result = from->is_being_destroyed       ? RST_PLATFORM_NOT_SENT
+                  : cut && random_permille (500) ? RST_PLATFORM_NOT_SENT
+                                                 : RST_PLATFORM_UNKNOWN;
+  if (from->is_being_destroyed)
     {
       /* The process ends; nothing leaves it any more. */
       return;
@@ -1055,14 +1072,14 @@
  */
 
 Reply
-World::changes_after (const std::string &prefix, uint64_t after)
+World::store_changes_after (const std::string &prefix, uint64_t after)
 {
   Reply reply;
 
   reply.revision = revision;
-  for (size_t i = history.size (); i > 0; i--)
+  for (size_t i = store_changes.size (); i > 0; i--)
     {
-      const Change &change = history[i - 1];
+      const Change &change = store_changes[i - 1];
 
       if (change.revision <= after)
         break;
@@ -1079,20 +1096,22 @@
 }
 
 void
-World::notify (const std::string &key)
+World::notify_watches (const std::string &key)
 {
   std::vector<Watch> due;
 
-  for (size_t i = 0; i < watches.size ();)
-    if (key.compare (0, watches[i].prefix.size (), watches[i].prefix) == 0)
+  for (size_t i = 0; i < store_watches.size ();)
+    if (key.compare (0, store_watches[i].prefix.size (),
+                     store_watches[i].prefix)
+        == 0)
       {
-        due.push_back (watches[i]);
-        watches.erase (watches.begin () + (long)i);
+        due.push_back (store_watches[i]);
+        store_watches.erase (store_watches.begin () + (long)i);
       }
     else
       i++;
   for (auto &watch : due)
-    watch.reply (changes_after (watch.prefix, watch.after));
+    watch.reply (store_changes_after (watch.prefix, watch.after));
 }
 
 Reply
@@ -1103,7 +1122,7 @@
   uint64_t present = found != values.end () ? found->second.revision : 0;
   Reply reply;
 
-  if (lease != 0 && leases.count (lease) == 0)
+  if (lease != 0 && store_leases.count (lease) == 0)
     {
       reply.result = RST_PLATFORM_NOT_FOUND;
       return reply;
@@ -1115,9 +1134,9 @@
       return reply;
     }
   values[key] = { value, ++revision, lease };
-  history.push_back ({ key, value, revision, false });
+  store_changes.push_back ({ key, value, revision, false });
   reply.revision = revision;
-  notify (key);
+  notify_watches (key);
   return reply;
 }
 
@@ -1134,9 +1153,9 @@
   else
     {
       values.erase (found);
-      history.push_back ({ key, "", ++revision, true });
+      store_changes.push_back ({ key, "", ++revision, true });
       reply.revision = revision;
-      notify (key);
+      notify_watches (key);
     }
   return reply;
 }
@@ -1183,15 +1202,16 @@
 {
   task.running = false;
   task.work.result = result;
-  oracle.task_ended (instance.info.name, task.work.team, task_name (task.work),
-                     needs_of (task.work), result == RST_TASK_MOVED);
+  oracle.record_task_end (
+      instance.info.name, task.work.team, format_task_name (task.work),
+      get_task_needs (task.work), result == RST_TASK_MOVED);
 }
 
 /* Leases of processes and tasks lapse; tasks end. */
 void
-World::expire ()
+World::expire_leases_and_tasks ()
 {
-  for (auto lease = leases.begin (); lease != leases.end ();)
+  for (auto lease = store_leases.begin (); lease != store_leases.end ();)
     {
       uint64_t id = lease->first;
 
@@ -1200,7 +1220,7 @@
           ++lease;
           continue;
         }
-      lease = leases.erase (lease);
+      lease = store_leases.erase (lease);
       std::vector<std::string> keys;
 
       for (const auto &value : values)
@@ -1209,12 +1229,12 @@
       for (const auto &key : keys)
         store_delete (key, -1);
     }
-  for (auto *instance : by_index_)
+  for (auto *instance : instances_by_index_)
     for (auto task = instance->tasks.begin (); task != instance->tasks.end ();)
       {
         FakeTask &fake = task->second;
 
-        if (fake.running && now >= fake.lease_until)
+        if (fake.running && now >= fake.lease_expires_at)
           {
             end_task (*instance, fake, RST_TASK_LOST);
             task = instance->tasks.erase (task);
@@ -1225,13 +1245,13 @@
                     instance->failing ? RST_TASK_FAILED : RST_TASK_DONE);
         ++task;
       }
-  at (10, [this] { expire (); });
+  at (10, [this] { expire_leases_and_tasks (); });
 }
 
 FakeInstance *
-World::by_address (const std::string &address)
+World::find_instance (const std::string &address)
 {
-  return instances_[address].get ();
+  return instances_by_address_[address].get ();
 }
 
 /* ---- Faults
@@ -1241,10 +1261,10 @@
 void
 World::fault (const std::string &name, bool active)
 {
-  if (active && faults_.insert (name).second)
-    oracle.fault_begins (now);
-  else if (!active && faults_.erase (name) > 0)
-    oracle.fault_ends (now);
+  if (active && active_faults_.insert (name).second)
+    oracle.begin_fault (now);
+  else if (!active && active_faults_.erase (name) > 0)
+    oracle.end_fault (now);
 }
 
 void
@@ -1255,9 +1275,9 @@
   if (a == b)
     return;
   if (cut)
-    cut_zones_.insert (pair);
+    zone_pairs_cut_.insert (pair);
   else
-    cut_zones_.erase (pair);
+    zone_pairs_cut_.erase (pair);
   fault ("cut " + std::to_string (pair.first) + std::to_string (pair.second),
          cut);
 }
@@ -1266,14 +1286,14 @@
 World::cut_store (int zone, bool cut)
 {
   if (cut)
-    cut_store_.insert (zone);
+    zones_cut_from_store_.insert (zone);
   else
-    cut_store_.erase (zone);
+    zones_cut_from_store_.erase (zone);
   fault ("store-cut " + std::to_string (zone), cut);
 }
 
 void
-World::silence_link (uint64_t which)
+World::make_link_silent (uint64_t which)
 {
   if (links_.empty ())
     return;
@@ -1282,7 +1302,7 @@
   std::advance (found, (long)(which % links_.size ()));
   found->second->silent = true;
   fault ("silent", true);
-  at (SILENT_MS + 100, [this] { fault ("silent", false); });
+  at (SILENT_LINK_TIMEOUT_MS + 100, [this] { fault ("silent", false); });
 }
 
 void
@@ -1293,12 +1313,14 @@
 }
 
 void
-World::set_weather (int lose_answer, int slow_call, int duplicate)
+World::set_fault_rates (int lose_reply_permille, int slow_call_permille,
+                        int duplicate_permille)
 {
-  weather.lose_answer = lose_answer;
-  weather.slow_call = slow_call;
-  weather.duplicate = duplicate;
-  fault ("weather", lose_answer + slow_call + duplicate > 0);
+  weather.lose_reply_permille = lose_reply_permille;
+  weather.slow_call_permille = slow_call_permille;
+  weather.duplicate_permille = duplicate_permille;
+  fault ("weather",
+         lose_reply_permille + slow_call_permille + duplicate_permille > 0);
 }
 
 void
@@ -1311,7 +1333,7 @@
         cut_zones (a, b, false);
     }
   store_down (false);
-  set_weather (0, 0, 0);
+  set_fault_rates (0, 0, 0);
   for (auto &node : nodes_)
     {
       resume (node.get ());
@@ -1320,21 +1342,22 @@
 }
 
 void
-World::heal ()
+World::heal_all ()
 {
   heal_faults ();
   for (int i = 0; i < instances (); i++)
     {
-      set_failing (i, false);
-      set_leaving (i, false);
+      set_instance_failing (i, false);
+      set_instance_leaving (i, false);
     }
 }
 
 /* The instance starts anew: what it ran has ended without a result. */
 void
-World::reboot (int index)
+World::reboot_instance (int index)
 {
-  FakeInstance *instance = by_index_[index % (int)by_index_.size ()];
+  FakeInstance *instance
+      = instances_by_index_[index % (int)instances_by_index_.size ()];
 
   for (auto &task : instance->tasks)
     if (task.second.running)
@@ -1359,19 +1382,19 @@
 }
 
 void
-World::write_team (int team, int64_t limit)
+World::write_team_settings (int team, int64_t limit)
 {
   std::string name = team_name (team);
-  std::string id = "k" + std::to_string (key_number_[team]);
+  std::string id = "k" + std::to_string (key_versions_[team]);
   unsigned char secret[32];
   char key[256];
   struct rst_team_key stored;
   struct rst_team settings = {};
   char *text;
 
-  memset (secret, team * 16 + key_number_[team], sizeof secret);
-  rst_key_create (name.c_str (), id.c_str (), secret, key, sizeof key,
-                  &stored);
+  memset (secret, team * 16 + key_versions_[team], sizeof secret);
+  rst_team_key_create (name.c_str (), id.c_str (), secret, key, sizeof key,
+                       &stored);
   g_strlcpy (settings.name, name.c_str (), RST_NAME_SIZE);
   settings.share = 1 + (uint32_t)team;
   settings.upper_limit = (uint32_t)limit;
@@ -1380,14 +1403,14 @@
   text = rst_team_format (&settings);
   if (put_setting (std::string (RST_KEY_TEAMS) + name, text))
     {
-      if (keys_.count (team) > 0 && keys_[team] != key)
+      if (team_keys_.count (team) > 0 && team_keys_[team] != key)
         {
-          oracle.key_withdrawn (keys_[team], now);
-          old_keys_[team] = keys_[team];
+          oracle.record_key_withdrawal (team_keys_[team], now);
+          withdrawn_keys_[team] = team_keys_[team];
         }
-      keys_[team] = key;
-      oracle.key_granted (name, key);
-      oracle.limit_set (name, limit, now);
+      team_keys_[team] = key;
+      oracle.record_key (name, key);
+      oracle.record_limit (name, limit, now);
       team_limits_[team] = limit;
     }
   free (text);
@@ -1396,7 +1419,7 @@
 void
 World::set_limit (int team, int64_t limit)
 {
-  write_team (team, limit);
+  write_team_settings (team, limit);
 }
 
 void
@@ -1404,19 +1427,19 @@
 {
   if (weather.store_down)
     return;
-  key_number_[team]++;
-  write_team (team, team_limits_[team]);
+  key_versions_[team]++;
+  write_team_settings (team, team_limits_[team]);
 }
 
 void
-World::set_zone (int zone, bool out, bool move)
+World::set_zone_state (int zone, bool out, bool move)
 {
   std::string value = "{";
 
   if (weather.store_down)
     return;
-  zone_state_[zone_name (zone)] = { out, move };
-  for (const auto &state : zone_state_)
+  zone_states_[zone_name (zone)] = { out, move };
+  for (const auto &state : zone_states_)
     value += (value.size () > 1 ? "," : "") + ("\"" + state.first)
              + "\":{\"state\":\"" + (state.second.first ? "out" : "in")
              + "\",\"running\":\"" + (state.second.second ? "move" : "finish")
@@ -1424,15 +1447,16 @@
   value += "}";
   put_setting (RST_KEY_ZONES, value);
   if (out)
-    oracle.zone_out (zone_name (zone), now);
+    oracle.record_zone_out (zone_name (zone), now);
   else
-    oracle.zone_in (zone_name (zone));
+    oracle.record_zone_in (zone_name (zone));
 }
 
 void
-World::set_leaving (int index, bool leaving)
+World::set_instance_leaving (int index, bool leaving)
 {
-  FakeInstance *instance = by_index_[index % (int)by_index_.size ()];
+  FakeInstance *instance
+      = instances_by_index_[index % (int)instances_by_index_.size ()];
 
   if (leaving)
     oracle.leaving (instance->info.name, now);
@@ -1440,16 +1464,17 @@
     if (instance->info.leaving == leaving)
       return;
     instance->info.leaving = leaving;
-    list_revision++;
+    instance_list_revision++;
   });
   if (!leaving)
     oracle.back (instance->info.name);
 }
 
 void
-World::set_failing (int index, bool failing)
+World::set_instance_failing (int index, bool failing)
 {
-  by_index_[index % (int)by_index_.size ()]->failing = failing;
+  instances_by_index_[index % (int)instances_by_index_.size ()]->failing
+      = failing;
 }
 
 /* ---- Callers
@@ -1459,13 +1484,13 @@
 void
 World::send_request (int number)
 {
-  const Caller &caller = callers_[number];
+  const CallerRequest &caller = caller_requests_[number];
   Node *node = nodes_[schedulers () + caller.entry % shape.zones].get ();
   std::string authorization = "Bearer " + caller.key;
   std::string deadline = std::to_string (caller.deadline);
   struct rst_entry_request request = {};
 
-  if (!node->alive () || node->paused)
+  if (!node->is_alive () || node->paused)
     return;
   request.key = authorization.c_str ();
   request.request_id = caller.id.empty () ? nullptr : caller.id.c_str ();
@@ -1474,7 +1499,8 @@
   request.body = caller.body.c_str ();
   request.length = caller.body.size ();
   pending_++;
-  rst_entry_handle_request (node->entry, new Handle{ this, number }, &request);
+  rst_entry_handle_request (node->entry, new RequestHandle{ this, number },
+                            &request);
 }
 
 int
@@ -1482,14 +1508,14 @@
                 ms deadline)
 {
   int number = next_request_++;
-  Caller &caller = callers_[number];
+  CallerRequest &caller = caller_requests_[number];
   Request what;
 
   caller.entry = entry;
   caller.team = team;
   caller.idempotent = idempotent;
   caller.id = keyed ? "r" + std::to_string (number) : "";
-  caller.key = keys_[team];
+  caller.key = team_keys_[team];
   caller.deadline = deadline;
   caller.body = "{\"n\":" + std::to_string (number)
                 + ",\"ms\":" + std::to_string (run_ms) + "}";
@@ -1503,15 +1529,15 @@
 }
 
 void
-World::request_with_old_key (int entry, int team)
+World::send_request_with_withdrawn_key (int entry, int team)
 {
-  std::string present = keys_[team];
+  std::string present = team_keys_[team];
 
-  if (old_keys_.count (team) == 0)
+  if (withdrawn_keys_.count (team) == 0)
     return;
-  keys_[team] = old_keys_[team];
+  team_keys_[team] = withdrawn_keys_[team];
   request (entry, team, false, false, 10, 2000);
-  keys_[team] = present;
+  team_keys_[team] = present;
 }
 
 void
@@ -1536,14 +1562,14 @@
 
 /* The same request again, perhaps through another entry. */
 void
-World::repeat (int entry, int request)
+World::repeat_request (int entry, int request)
 {
-  auto found = callers_.find (request);
+  auto found = caller_requests_.find (request);
 
-  if (found == callers_.end () || found->second.id.empty ())
+  if (found == caller_requests_.end () || found->second.id.empty ())
     return;
   found->second.entry = entry;
-  oracle.repeated (request);
+  oracle.record_repeat (request);
   send_request (request);
 }
 
@@ -1555,7 +1581,7 @@
   Node *node = nodes_[schedulers () + entry % shape.zones].get ();
   int number = next_request_++;
   std::string id = (run_once ? "once" : "job") + std::to_string (number);
-  std::string authorization = "Bearer " + keys_[team];
+  std::string authorization = "Bearer " + team_keys_[team];
   struct rst_entry_request request = {};
   std::string body = "{\"id\":\"" + id + "\",\"policy\":\"" + policies[policy]
                      + "\",\"tasks\":" + std::to_string (tasks)
@@ -1566,43 +1592,43 @@
     body += ",\"run_ms\":" + std::to_string (run_ms)
             + ",\"run_once\":" + (run_once ? "true" : "false");
   body += "}";
-  if (!node->alive () || node->paused)
+  if (!node->is_alive () || node->paused)
     return 0;
-  jobs_[number] = team_name (team) + "/" + id;
+  job_names_[number] = team_name (team) + "/" + id;
   if (policy == 1)
-    services_.insert (jobs_[number]);
+    service_names_.insert (job_names_[number]);
   request.key = authorization.c_str ();
   request.operation = RST_JOB_SUBMIT;
   request.body = body.c_str ();
   request.length = body.size ();
   pending_++;
-  rst_entry_handle_request (node->entry, new Handle{ this, -number },
+  rst_entry_handle_request (node->entry, new RequestHandle{ this, -number },
                             &request);
   return number;
 }
 
 void
-World::cancel (int entry, int which)
+World::cancel_job_by_index (int entry, int which)
 {
-  if (jobs_.empty ())
+  if (job_names_.empty ())
     return;
-  auto found = jobs_.begin ();
+  auto found = job_names_.begin ();
 
-  std::advance (found, which % (int)jobs_.size ());
-  cancel_job (entry, found->second);
+  std::advance (found, which % (int)job_names_.size ());
+  cancel_job_by_name (entry, found->second);
 }
 
 void
-World::cancel_services ()
+World::cancel_all_services ()
 {
   int entry = 0;
 
-  for (const auto &service : services_)
-    cancel_job (entry++, service);
+  for (const auto &service : service_names_)
+    cancel_job_by_name (entry++, service);
 }
 
 void
-World::cancel_job (int entry, const std::string &name)
+World::cancel_job_by_name (int entry, const std::string &name)
 {
   Node *node = nodes_[schedulers () + entry % shape.zones].get ();
   struct rst_entry_request request = {};
@@ -1610,19 +1636,20 @@
   std::string id = name.substr (name.find ('/') + 1);
   int team = atoi (name.c_str () + 4);
 
-  if (!node->alive () || node->paused)
+  if (!node->is_alive () || node->paused)
     return;
-  authorization = "Bearer " + keys_[team];
+  authorization = "Bearer " + team_keys_[team];
   request.key = authorization.c_str ();
   request.operation = RST_JOB_CANCEL;
   request.job = id.c_str ();
   request.body = "";
   pending_++;
-  rst_entry_handle_request (node->entry, new Handle{ this, -1 }, &request);
+  rst_entry_handle_request (node->entry, new RequestHandle{ this, -1 },
+                            &request);
 }
 
 int
-World::unfinished_jobs () const
+World::count_unfinished_jobs () const
 {
   int count = 0;
 
@@ -1644,7 +1671,7 @@
  * -------------------------------------------------------------------------------------------
  */
 
-World::World (const Shape &wanted, uint64_t seed)
+World::World (const ClusterConfig &wanted, uint64_t seed)
     : shape (wanted), random (seed)
 {
   for (int z = 0; z < shape.zones; z++)
@@ -1666,8 +1693,8 @@
         capacity.cpu = info.cpu = runner ? 0 : shape.cpu;
         capacity.memory = info.memory_mb = runner ? 0 : shape.memory;
         oracle.add_instance (name, info.zone, capacity);
-        by_index_.push_back (instance.get ());
-        instances_["i-" + name] = std::move (instance);
+        instances_by_index_.push_back (instance.get ());
+        instances_by_address_["i-" + name] = std::move (instance);
       }
   for (int i = 0; i < shape.zones * shape.schedulers + shape.zones; i++)
     {
@@ -1685,22 +1712,22 @@
       nodes_.push_back (std::move (node));
     }
   for (int z = 0; z < shape.zones; z++)
-    set_zone (z, false, false);
+    set_zone_state (z, false, false);
   for (int t = 0; t < shape.teams; t++)
-    write_team (t, shape.upper_limit);
-  oracle.fault_begins (now);
-  oracle.fault_ends (now);
+    write_team_settings (t, shape.upper_limit);
+  oracle.begin_fault (now);
+  oracle.end_fault (now);
   for (auto &node : nodes_)
     start_node (node.get ());
-  expire ();
+  expire_leases_and_tasks ();
   std::function<void ()> *watch = new std::function<void ()>;
   *watch = [this, watch] {
     oracle.check_stops (now);
     for (auto &node : nodes_)
-      if (node->alive () && !node->paused)
+      if (node->is_alive () && !node->paused)
         {
-          observe (node.get ());
-          oracle.check_in_force (node->name, now);
+          report_settings (node.get ());
+          oracle.check_settings_in_force (node->name, now);
         }
     at (500, *watch);
   };
--- a/test/fuzz/world.h
+++ b/test/fuzz/world.h
@@ -31,7 +31,7 @@
 namespace fuzz
 {
 
-struct Shape
+struct ClusterConfig
 {
   int zones = 3;
   int schedulers = 3;
@@ -46,11 +46,11 @@
 };
 
 /* Likelihoods in a thousand, and delays. */
-struct Weather
+struct FaultRates
 {
-  int lose_answer = 0;
-  int slow_call = 0;
-  int duplicate = 0;
+  int lose_reply_permille = 0;
+  int slow_call_permille = 0;
+  int duplicate_permille = 0;
   bool store_down = false;
 };
 
@@ -66,7 +66,7 @@
   std::vector<uint64_t> revisions;
   std::vector<bool> deleted;
   std::vector<struct rst_instance_info> instances;
-  std::vector<struct rst_work> work;
+  std::vector<struct rst_run_info> work;
   std::string body;
 };
 
@@ -82,17 +82,17 @@
   struct rst_entry *entry = nullptr;
   int life = 0;
   bool paused = false;
-  bool dying = false;
+  bool is_being_destroyed = false;
   bool stopping = false;
   bool cut_from_store = false;
-  double rate = 1.0;
-  ms born = 0;
+  double clock_rate = 1.0;
+  ms started_at = 0;
   uint64_t calls = 0;
   std::vector<std::function<void ()> > deferred;
-  std::map<uint64_t, std::function<void (const Reply &)> > outstanding;
+  std::map<uint64_t, std::function<void (const Reply &)> > pending_calls;
 
   bool
-  alive () const
+  is_alive () const
   {
     return scheduler != nullptr || entry != nullptr;
   }
@@ -111,11 +111,11 @@
 
 struct FakeTask
 {
-  struct rst_work work;
+  struct rst_run_info work;
   bool running = true;
   bool run_once = false;
   ms ends_at = 0;
-  ms lease_until = 0;
+  ms lease_expires_at = 0;
 };
 
 struct FakeRun
@@ -139,12 +139,12 @@
 class World
 {
 public:
-  World (const Shape &shape, uint64_t seed);
+  World (const ClusterConfig &shape, uint64_t seed);
   ~World ();
 
   Oracle oracle;
-  Weather weather;
-  Shape shape;
+  FaultRates weather;
+  ClusterConfig shape;
   ms now = 1000000;
   std::mt19937_64 random;
 
@@ -176,40 +176,41 @@
   /* Faults. */
   void cut_zones (int a, int b, bool cut);
   void cut_store (int zone, bool cut);
-  void silence_link (uint64_t which);
+  void make_link_silent (uint64_t which);
   void store_down (bool down);
-  void set_weather (int lose_answer, int slow_call, int duplicate);
-  void reboot (int instance);
+  void set_fault_rates (int lose_reply_permille, int slow_call_permille,
+                        int duplicate_permille);
+  void reboot_instance (int instance);
   void heal_faults ();
-  void heal ();
+  void heal_all ();
 
   /* Operators and callers. */
   bool put_setting (const std::string &key, const std::string &value);
   void set_limit (int team, int64_t limit);
   void withdraw_key (int team);
-  void set_zone (int zone, bool out, bool move);
-  void set_leaving (int instance, bool leaving);
-  void set_failing (int instance, bool failing);
+  void set_zone_state (int zone, bool out, bool move);
+  void set_instance_leaving (int instance, bool leaving);
+  void set_instance_failing (int instance, bool failing);
   int request (int entry, int team, bool idempotent, bool keyed, ms run_ms,
                ms deadline);
-  void repeat (int entry, int request);
-  void request_with_old_key (int entry, int team);
+  void repeat_request (int entry, int request);
+  void send_request_with_withdrawn_key (int entry, int team);
   int submit (int entry, int team, int policy, int tasks, int64_t cpu,
               ms run_ms, bool run_once);
-  void cancel (int entry, int job);
-  void cancel_services ();
+  void cancel_job_by_index (int entry, int job);
+  void cancel_all_services ();
 
   std::string zone_name (int zone) const;
   std::string team_name (int team) const;
   int
   instances () const
   {
-    return (int)instances_.size ();
+    return (int)instances_by_address_.size ();
   }
   FakeInstance &
   instance (int index)
   {
-    return *by_index_[index];
+    return *instances_by_index_[index];
   }
   int
   last_request () const
@@ -217,24 +218,24 @@
     return next_request_ - 1;
   }
   int
-  pending_requests () const
+  pending_request_count () const
   {
     return pending_;
   }
-  int unfinished_jobs () const;
+  int count_unfinished_jobs () const;
   int64_t store_reads = 0;
   int64_t store_writes = 0;
   int64_t messages = 0;
   int64_t message_bytes = 0;
   bool count_bytes = false;
-  int64_t engine_ns = 0;
+  int64_t state_machine_ns = 0;
   int answered = 0, not_run = 0, unknown = 0;
 
   /* Used by the fakes. */
   void call (Node *from, const std::string &zone, bool store, ms timeout,
              std::function<Reply (std::function<void (Reply)>, bool *)> effect,
              rst_platform_done done, void *data);
-  FakeInstance *by_address (const std::string &address);
+  FakeInstance *find_instance (const std::string &address);
   Reply store_put (const std::string &key, const std::string &value,
                    int64_t expected, uint64_t lease);
   Reply store_delete (const std::string &key, int64_t expected);
@@ -246,8 +247,8 @@
   void answer (int request, const struct rst_entry_reply *reply);
   ms node_time (const Node *node) const;
   void end_task (FakeInstance &instance, FakeTask &task, int64_t result);
-  int pick (int bound);
-  bool chance (int in_a_thousand);
+  int random_below (int bound);
+  bool random_permille (int permille);
 
   struct Watch
   {
@@ -274,27 +275,27 @@
     ms expires_at;
   };
   std::map<std::string, Value> values;
-  std::vector<Change> history;
-  std::map<uint64_t, Lease> leases;
-  std::vector<Watch> watches;
+  std::vector<Change> store_changes;
+  std::map<uint64_t, Lease> store_leases;
+  std::vector<Watch> store_watches;
   uint64_t revision = 1;
-  uint64_t next_lease = 1;
-  uint64_t list_revision = 1;
-  Reply changes_after (const std::string &prefix, uint64_t after);
+  uint64_t next_lease_id = 1;
+  uint64_t instance_list_revision = 1;
+  Reply store_changes_after (const std::string &prefix, uint64_t after);
 
 private:
   struct Event
   {
     ms at;
-    uint64_t order;
+    uint64_t sequence;
     std::function<void ()> what;
     bool
     operator<(const Event &other) const
     {
-      return at != other.at ? at > other.at : order > other.order;
+      return at != other.at ? at > other.at : sequence > other.sequence;
     }
   };
-  struct Caller
+  struct CallerRequest
   {
     int entry;
     int team;
@@ -306,38 +307,38 @@
   };
 
   std::priority_queue<Event> events_;
-  uint64_t order_ = 0;
+  uint64_t last_event_sequence_ = 0;
   uint64_t next_link_ = 10;
   uint64_t next_call_ = 1;
   int next_request_ = 1;
   int pending_ = 0;
   std::vector<std::unique_ptr<Node> > nodes_;
-  std::map<std::string, std::unique_ptr<FakeInstance> > instances_;
-  std::vector<FakeInstance *> by_index_;
+  std::map<std::string, std::unique_ptr<FakeInstance> > instances_by_address_;
+  std::vector<FakeInstance *> instances_by_index_;
   std::map<uint64_t, std::shared_ptr<Link> > links_;
-  std::set<std::pair<int, int> > cut_zones_;
-  std::set<int> cut_store_;
-  std::map<int, Caller> callers_;
-  std::map<int, std::string> keys_;
-  std::map<int, std::string> old_keys_;
-  std::map<int, int> key_number_;
-  std::map<std::string, std::pair<bool, bool> > zone_state_;
-  std::map<int, std::string> jobs_;
-  std::set<std::string> services_;
-  std::set<std::string> faults_;
+  std::set<std::pair<int, int> > zone_pairs_cut_;
+  std::set<int> zones_cut_from_store_;
+  std::map<int, CallerRequest> caller_requests_;
+  std::map<int, std::string> team_keys_;
+  std::map<int, std::string> withdrawn_keys_;
+  std::map<int, int> key_versions_;
+  std::map<std::string, std::pair<bool, bool> > zone_states_;
+  std::map<int, std::string> job_names_;
+  std::set<std::string> service_names_;
+  std::set<std::string> active_faults_;
 
   void start_node (Node *node);
   void deliver (Node *node, int life, std::function<void ()> what);
   void tick_node (Node *node);
-  void timed (const std::function<void ()> &what);
-  void observe (Node *node);
-  bool zones_cut (const std::string &a, const std::string &b) const;
+  void run_timed (const std::function<void ()> &what);
+  void report_settings (Node *node);
+  bool are_zones_cut (const std::string &a, const std::string &b) const;
   void close_link (std::shared_ptr<Link> link, ms delay);
-  void notify (const std::string &key);
-  void expire ();
-  void write_team (int team, int64_t limit);
+  void notify_watches (const std::string &key);
+  void expire_leases_and_tasks ();
+  void write_team_settings (int team, int64_t limit);
   void send_request (int request);
-  void cancel_job (int entry, const std::string &name);
+  void cancel_job_by_name (int entry, const std::string &name);
   void fault (const std::string &name, bool active);
   int zone_index (const std::string &zone) const;
   std::map<int, int64_t> team_limits_;
--- a/test/unit/adapter_test.cc
+++ b/test/unit/adapter_test.cc
@@ -23,7 +23,7 @@
   writes[2].key = "c";
   writes[2].expected = -1;
   writes[2].remove = true;
-  char *body = rst_platform_txn_body (writes, 3);
+  char *body = rst_platform_format_transaction (writes, 3);
 
   EXPECT_STREQ (body, "{\"expected_rev\":[{\"key\":\"a\",\"revision\":7}],"
                       "\"writes\":[{\"key\":\"a\",\"value\":\"eA==\"},"
@@ -43,7 +43,7 @@
   call.checkpoint = "";
   call.ticket = "k";
   call.deadline_ms = 90;
-  char *body = rst_platform_order_body (&call);
+  char *body = rst_platform_format_order (&call);
 
   EXPECT_STREQ (body, "{\"fencing_token\":3,\"deadline_ms\":90,\"task\":\"t\","
                       "\"attempt\":2,\"spec\":\"s\",\"ticket\":\"k\"}");
@@ -58,7 +58,7 @@
   call.task = "t";
   call.attempt = 2;
   call.has_percent = true;
-  char *body = rst_platform_order_body (&call);
+  char *body = rst_platform_format_order (&call);
 
   EXPECT_STREQ (body, "{\"fencing_token\":3,\"task\":\"t\",\"attempt\":2,"
                       "\"percent\":0}");
@@ -69,7 +69,7 @@
 {
   rst_instance_answer *answer = rst_instance_answer_new ();
 
-  ASSERT_TRUE (rst_platform_read_runs (
+  ASSERT_TRUE (rst_platform_parse_runs (
       "{\"clock_ms\":9,\"born\":4,\"running\":[[\"t1\",2,\"c\",41,7]],"
       "\"finished\":[[58,\"t2\",1,\"failed\",\"d\"],[59,\"t3\",1,\"alone\","
       "\"\"],5]}",
@@ -94,20 +94,20 @@
 
 TEST (Adapter, TellsReasonsApart)
 {
-  EXPECT_EQ (rst_platform_read_reason ("{\"reason\":\"fence\"}"),
+  EXPECT_EQ (rst_platform_parse_rejection ("{\"reason\":\"fence\"}"),
              RST_RESULT_FENCED);
-  EXPECT_EQ (rst_platform_read_reason ("{\"reason\":\"ticket\"}"),
+  EXPECT_EQ (rst_platform_parse_rejection ("{\"reason\":\"ticket\"}"),
              RST_RESULT_NO_TICKET);
-  EXPECT_EQ (rst_platform_read_reason ("{\"reason\":\"new\"}"),
+  EXPECT_EQ (rst_platform_parse_rejection ("{\"reason\":\"new\"}"),
              RST_RESULT_UNKNOWN);
-  EXPECT_EQ (rst_platform_read_reason ("{"), RST_RESULT_UNKNOWN);
+  EXPECT_EQ (rst_platform_parse_rejection ("{"), RST_RESULT_UNKNOWN);
 }
 
 TEST (Adapter, ReadsTheConfiguration)
 {
   char *problem = nullptr;
   const char *rest = nullptr;
-  rst_cellconfig *config = rst_adapter_read_config (
+  rst_cellconfig *config = rst_adapter_parse_config (
       "{\"version\":7,\"routes\":[{\"name\":\"r\",\"host\":\"h.example\","
       "\"prefix\":\"/a/\",\"service\":\"s\",\"attempts\":4,"
       "\"slack_factor\":2.2,\"advice\":{\"decision_ms\":560.0,"
@@ -138,7 +138,7 @@
 {
   char *problem = nullptr;
 
-  EXPECT_EQ (rst_adapter_read_config ("{\"version\":7}", &problem), nullptr);
+  EXPECT_EQ (rst_adapter_parse_config ("{\"version\":7}", &problem), nullptr);
   EXPECT_EQ (std::string (problem).substr (0, 7), "routes:");
   g_free (problem);
 }
@@ -159,8 +159,8 @@
           "\"state\":\"ready\"}" };
 
   for (const char *text : bad)
-    EXPECT_FALSE (rst_adapter_read_instance ("i", text, &entry)) << text;
-  ASSERT_TRUE (rst_adapter_read_instance (
+    EXPECT_FALSE (rst_adapter_parse_instance ("i", text, &entry)) << text;
+  ASSERT_TRUE (rst_adapter_parse_instance (
       "i",
       "{\"service\":\"s\",\"addr\":\"a:1\",\"zone\":\"z\",\"state\":"
       "\"draining\",\"capacity\":{\"cpu\":5,\"mem_mb\":6},\"labels\":"
@@ -175,7 +175,7 @@
 TEST (Adapter, ReadsAJobAndNamesTheBadField)
 {
   const char *problem = nullptr;
-  rst_jobdesc *desc = rst_adapter_read_job (
+  rst_jobdesc *desc = rst_adapter_parse_job (
       "{\"spec\":\"x\",\"phases\":[{\"count\":4,\"cpu\":500},{\"count\":2,"
       "\"after\":[0],\"gang\":true,\"constraints\":\"a\"}]}",
       &problem);
@@ -185,13 +185,13 @@
   EXPECT_TRUE (desc->steps[1].gang);
   EXPECT_STREQ (desc->steps[1].label, "a");
   rst_jobdesc_destroy (desc);
-  EXPECT_EQ (rst_adapter_read_job ("{\"spec\":\"x\"}", &problem), nullptr);
+  EXPECT_EQ (rst_adapter_parse_job ("{\"spec\":\"x\"}", &problem), nullptr);
   EXPECT_EQ (std::string (problem).substr (0, 7), "phases:");
-  EXPECT_EQ (rst_adapter_read_job (
+  EXPECT_EQ (rst_adapter_parse_job (
                  "{\"spec\":\"x\",\"phases\":[{\"count\":0}]}", &problem),
              nullptr);
   EXPECT_EQ (std::string (problem).substr (0, 6), "count:");
-  EXPECT_EQ (rst_adapter_read_job (
+  EXPECT_EQ (rst_adapter_parse_job (
                  "{\"spec\":\"x\",\"phases\":[{\"count\":1,\"after\":[0]}]}",
                  &problem),
              nullptr);
