--- a/test/unit/metrics_test.cc
+++ b/test/unit/metrics_test.cc
@@ -23,8 +23,8 @@
   rst_histogram_add (&histogram, 30001);
   EXPECT_EQ (histogram.counts[0], 2u);
   EXPECT_EQ (histogram.counts[1], 1u);
-  EXPECT_EQ (histogram.counts[RST_HISTOGRAM_BOUNDS - 1], 1u);
-  EXPECT_EQ (histogram.counts[RST_HISTOGRAM_BOUNDS], 1u);
+  EXPECT_EQ (histogram.counts[RST_HISTOGRAM_BOUND_COUNT - 1], 1u);
+  EXPECT_EQ (histogram.counts[RST_HISTOGRAM_BOUND_COUNT], 1u);
   EXPECT_EQ (histogram.total, 5u);
   EXPECT_EQ (histogram.sum_ms, 60006);
 }
@@ -36,7 +36,8 @@
 
   rst_histogram_add (&histogram, 1);
   rst_histogram_add (&histogram, 4);
-  rst_metrics_histogram (page, "wait_seconds", { "queue", "q" }, &histogram);
+  rst_metrics_add_histogram (page, "wait_seconds", { "queue", "q" },
+                             &histogram);
   std::string text = page->str;
 
   g_string_free (page, TRUE);
@@ -54,10 +55,10 @@
 {
   rst_call_stats stats = {};
 
-  rst_call_stats_add (&stats, RST_OPERATION_SUBMIT, 200, 12);
-  rst_call_stats_add (&stats, RST_OPERATION_SUBMIT, 504, 2900);
-  rst_call_stats_add (&stats, RST_OPERATION_READ, 499, 1);
-  char *page = rst_call_metrics_page (&stats, 0, true);
+  rst_call_stats_record (&stats, RST_OPERATION_SUBMIT, 200, 12);
+  rst_call_stats_record (&stats, RST_OPERATION_SUBMIT, 504, 2900);
+  rst_call_stats_record (&stats, RST_OPERATION_READ, 499, 1);
+  char *page = rst_call_metrics_format_page (&stats, 0, true);
   std::string text = page;
 
   g_free (page);
--- a/test/unit/follow_test.cc
+++ b/test/unit/prefix_watch_test.cc
@@ -5,43 +5,44 @@
 
 extern "C"
 {
-#include "daemon/follow.h"
+#include "daemon/prefix_watch.h"
 }
 
-static rst_ms follow_now;
+static rst_ms watch_now;
 
-class Follow : public ::testing::Test
+class PrefixWatch : public ::testing::Test
 {
 protected:
   void
   SetUp () override
   {
-    rst_follow_config config = {};
+    rst_prefix_watch_config config = {};
 
-    follow_now = 1000;
+    watch_now = 1000;
     backend.userdata = this;
     backend.store_range = [] (void *userdata, const char *, const char *after,
                               rst_store_done done, void *data) {
-      static_cast<Follow *> (userdata)->called ("range " + std::string (after),
-                                                done, data);
+      static_cast<PrefixWatch *> (userdata)->called (
+          "range " + std::string (after), done, data);
     };
     backend.store_watch = [] (void *userdata, const char *, int64_t after,
                               int64_t, rst_store_done done, void *data) {
-      static_cast<Follow *> (userdata)->called (
+      static_cast<PrefixWatch *> (userdata)->called (
           "watch " + std::to_string (after), done, data);
     };
     config.backend = &backend;
-    config.now = [] { return follow_now; };
+    config.now = [] { return watch_now; };
     config.prefix = "p/";
     config.wait_ms = 1000;
     config.apply = [] (void *userdata, const rst_store_item *item) {
-      static_cast<Follow *> (userdata)->seen.push_back (
+      static_cast<PrefixWatch *> (userdata)->seen.push_back (
           (item->deleted ? "-" : "+") + std::string (item->key));
     };
-    config.read
-        = [] (void *userdata) { static_cast<Follow *> (userdata)->reads++; };
+    config.on_list_complete = [] (void *userdata) {
+      static_cast<PrefixWatch *> (userdata)->reads++;
+    };
     config.userdata = this;
-    follow = rst_follow_create (&config);
+    watch = rst_prefix_watch_create (&config);
   }
 
   void
@@ -76,12 +77,12 @@
   void
   run ()
   {
-    follow_now += 200;
-    rst_follow_run (follow);
+    watch_now += 200;
+    rst_prefix_watch_run (watch);
   }
 
   rst_backend backend = {};
-  rst_follow *follow = nullptr;
+  rst_prefix_watch *watch = nullptr;
   rst_store_done done = nullptr;
   void *data = nullptr;
   std::vector<std::string> calls;
@@ -89,7 +90,7 @@
   int reads = 0;
 };
 
-TEST_F (Follow, ReadsAllPagesThenWatchesFromTheFirstPagesRevision)
+TEST_F (PrefixWatch, ReadsAllPagesThenWatchesFromTheFirstPagesRevision)
 {
   run ();
   answer (RST_RESULT_OK, 10, { "p/a", "p/b" }, true);
@@ -102,10 +103,10 @@
   answer (RST_RESULT_OK, 15, { "-p/a" });
   EXPECT_EQ (seen,
              (std::vector<std::string>{ "+p/a", "+p/b", "+p/c", "-p/a" }));
-  rst_follow_destroy (follow);
+  rst_prefix_watch_destroy (watch);
 }
 
-TEST_F (Follow, ReadsAnewWhenTheHistoryIsGone)
+TEST_F (PrefixWatch, ReadsAnewWhenTheHistoryIsGone)
 {
   run ();
   answer (RST_RESULT_OK, 10, { "p/a", "p/b" });
@@ -118,13 +119,13 @@
   run ();
   EXPECT_EQ (calls.back (), "watch 40");
   answer (RST_RESULT_UNKNOWN, 0, {});
-  rst_follow_destroy (follow);
+  rst_prefix_watch_destroy (watch);
 }
 
-TEST_F (Follow, HandsNothingOnAfterItsEnd)
+TEST_F (PrefixWatch, HandsNothingOnAfterItsEnd)
 {
   run ();
-  rst_follow_destroy (follow);
+  rst_prefix_watch_destroy (watch);
   answer (RST_RESULT_OK, 10, { "p/a" });
   EXPECT_TRUE (seen.empty ());
 }
--- a/test/unit/state_test.cc
+++ b/test/unit/state_test.cc
@@ -51,8 +51,8 @@
 {
   EXPECT_EQ (apply ("settings/teams/t", 5, "{\"share\":2}"), RST_STATE_OK);
   EXPECT_EQ (apply ("settings/teams/t", 4, "{\"share\":9}"), RST_STATE_STALE);
-  EXPECT_EQ (rst_settings_team (settings, "t")->share, 2u);
-  EXPECT_EQ (rst_settings_newest (settings), 5u);
+  EXPECT_EQ (rst_settings_find_team (settings, "t")->share, 2u);
+  EXPECT_EQ (rst_settings_get_newest_revision (settings), 5u);
 }
 
 TEST_F (Settings, AnUnsoundBranchIsRefusedAsAWhole)
@@ -65,12 +65,12 @@
              RST_STATE_INVALID);
   EXPECT_STREQ (problems->str, "colour: unknown field\n"
                                "upper_limit: must be a whole number\n");
-  EXPECT_EQ (rst_settings_team (settings, "t")->share, 2u);
-  EXPECT_NE (rst_settings_problem (settings, "settings/teams/t", &refused),
+  EXPECT_EQ (rst_settings_find_team (settings, "t")->share, 2u);
+  EXPECT_NE (rst_settings_get_problem (settings, "settings/teams/t", &refused),
              nullptr);
   EXPECT_EQ (refused, 6u);
   EXPECT_EQ (apply ("settings/teams/t", 7, "{\"share\":4}"), RST_STATE_OK);
-  EXPECT_EQ (rst_settings_problem (settings, "settings/teams/t", &refused),
+  EXPECT_EQ (rst_settings_get_problem (settings, "settings/teams/t", &refused),
              nullptr);
 }
 
@@ -91,10 +91,10 @@
 TEST_F (Settings, ZonesAreTakenOutAndBroughtBack)
 {
   apply ("settings/zones", 1, "{\"z1\":{\"state\":\"out\"}}");
-  EXPECT_TRUE (rst_settings_zone_out (settings, "z1"));
-  EXPECT_FALSE (rst_settings_zone_out (settings, "z2"));
+  EXPECT_TRUE (rst_settings_is_zone_out (settings, "z1"));
+  EXPECT_FALSE (rst_settings_is_zone_out (settings, "z2"));
   apply ("settings/zones", 2, "{\"z1\":{\"state\":\"in\"}}");
-  EXPECT_FALSE (rst_settings_zone_out (settings, "z1"));
+  EXPECT_FALSE (rst_settings_is_zone_out (settings, "z1"));
 }
 
 TEST_F (Settings, TheHashDoesNotDependOnTheOrder)
@@ -104,9 +104,9 @@
   apply ("settings/teams/a", 1, "{\"share\":1}");
   apply ("settings/teams/b", 2, "{\"share\":1}");
   rst_settings_apply (other, "settings/teams/b", 2, "{\"share\":1}", problems);
-  EXPECT_NE (rst_settings_hash (settings), rst_settings_hash (other));
+  EXPECT_NE (rst_settings_get_hash (settings), rst_settings_get_hash (other));
   rst_settings_apply (other, "settings/teams/a", 1, "{\"share\":1}", problems);
-  EXPECT_EQ (rst_settings_hash (settings), rst_settings_hash (other));
+  EXPECT_EQ (rst_settings_get_hash (settings), rst_settings_get_hash (other));
   rst_settings_destroy (other);
 }
 
@@ -119,24 +119,24 @@
   char *text;
 
   memset (secret, 7, sizeof secret);
-  rst_key_create ("t", "k1", secret, key, sizeof key, &stored);
+  rst_team_key_create ("t", "k1", secret, key, sizeof key, &stored);
   team.share = 1;
-  team.upper_limit = RST_NO_LIMIT;
+  team.upper_limit = RST_NO_UPPER_LIMIT;
   team.key_count = 1;
   team.keys[0] = stored;
   text = rst_team_format (&team);
   ASSERT_EQ (apply ("settings/teams/t", 1, text), RST_STATE_OK);
   free (text);
-  ASSERT_NE (rst_settings_key_team (settings, key), nullptr);
-  EXPECT_STREQ (rst_settings_key_team (settings, key)->name, "t");
+  ASSERT_NE (rst_settings_find_team_by_key (settings, key), nullptr);
+  EXPECT_STREQ (rst_settings_find_team_by_key (settings, key)->name, "t");
   key[strlen (key) - 1] ^= 1;
-  EXPECT_EQ (rst_settings_key_team (settings, key), nullptr);
+  EXPECT_EQ (rst_settings_find_team_by_key (settings, key), nullptr);
   key[strlen (key) - 1] ^= 1;
-  EXPECT_EQ (rst_settings_key_team (settings, ""), nullptr);
-  EXPECT_EQ (rst_settings_key_team (settings, "t/k1"), nullptr);
-  EXPECT_EQ (rst_settings_key_team (settings, "u/k1/ab"), nullptr);
+  EXPECT_EQ (rst_settings_find_team_by_key (settings, ""), nullptr);
+  EXPECT_EQ (rst_settings_find_team_by_key (settings, "t/k1"), nullptr);
+  EXPECT_EQ (rst_settings_find_team_by_key (settings, "u/k1/ab"), nullptr);
   ASSERT_EQ (apply ("settings/teams/t", 2, "{\"share\":1}"), RST_STATE_OK);
-  EXPECT_EQ (rst_settings_key_team (settings, key), nullptr);
+  EXPECT_EQ (rst_settings_find_team_by_key (settings, key), nullptr);
 }
 
 TEST (Job, NamesWhatIsWrong)
@@ -171,15 +171,15 @@
   strcpy (record.owner, "z1:e1:1");
   record.generation = 3;
   record.spec.tasks = 4;
-  record.intent = 2;
-  record.ended = g_strdup ("d.u.");
+  record.start_intent = 2;
+  record.task_outcomes = g_strdup ("d.u.");
   text = rst_job_record_format (&record);
   ASSERT_EQ (rst_job_record_parse (text, 8, &read), RST_STATE_OK);
-  EXPECT_STREQ (read.ended, "d.u.");
+  EXPECT_STREQ (read.task_outcomes, "d.u.");
   EXPECT_EQ (read.generation, 3u);
-  EXPECT_EQ (read.intent, 2);
-  EXPECT_FALSE (rst_job_record_finished (&read));
-  EXPECT_STREQ (rst_job_record_state (&read), "running");
+  EXPECT_EQ (read.start_intent, 2);
+  EXPECT_FALSE (rst_job_record_is_finished (&read));
+  EXPECT_STREQ (rst_job_record_get_state (&read), "running");
   free (text);
   rst_job_record_clear (&record);
   rst_job_record_clear (&read);
@@ -220,7 +220,7 @@
   struct rst_blob frame;
   const char *field;
 
-  message.type = RST_DIGEST;
+  message.type = RST_SETTINGS_DIGEST;
   ASSERT_EQ (rst_message_encode (&message, &frame), RST_PROTOCOL_OK);
   for (size_t length = 0; length < frame.length; length++)
     EXPECT_NE (rst_message_decode (frame.data, length, &read, &field),
@@ -233,7 +233,7 @@
   frame.data[2] = 99;
   EXPECT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
              RST_PROTOCOL_TYPE);
-  frame.data[2] = RST_DIGEST;
+  frame.data[2] = RST_SETTINGS_DIGEST;
   frame.data[4] = (char)0xc3;
   EXPECT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
              RST_PROTOCOL_FIELD);
@@ -245,13 +245,13 @@
 
 TEST (Conf, ChecksAddressesAndNames)
 {
-  EXPECT_TRUE (rst_conf_valid_address ("127.0.0.1:80"));
-  EXPECT_FALSE (rst_conf_valid_address ("localhost:80"));
-  EXPECT_FALSE (rst_conf_valid_address ("127.0.0.1"));
-  EXPECT_FALSE (rst_conf_valid_address ("127.0.0.1:70000"));
-  EXPECT_TRUE (rst_conf_valid_name ("a-b_c.9"));
-  EXPECT_FALSE (rst_conf_valid_name (""));
-  EXPECT_FALSE (rst_conf_valid_name ("a b"));
+  EXPECT_TRUE (rst_conf_is_address ("127.0.0.1:80"));
+  EXPECT_FALSE (rst_conf_is_address ("localhost:80"));
+  EXPECT_FALSE (rst_conf_is_address ("127.0.0.1"));
+  EXPECT_FALSE (rst_conf_is_address ("127.0.0.1:70000"));
+  EXPECT_TRUE (rst_conf_is_name ("a-b_c.9"));
+  EXPECT_FALSE (rst_conf_is_name (""));
+  EXPECT_FALSE (rst_conf_is_name ("a b"));
 }
 
 TEST (Conf, ReadsJsonWithComments)
