--- a/src/load/load.c
+++ b/src/load/load.c
@@ -318,7 +318,7 @@
 }
 
 static int
-value_or (const struct arg_int *argument, int default_value)
+value_or_default (const struct arg_int *argument, int default_value)
 {
   return argument->count > 0 ? argument->ival[0] : default_value;
 }
@@ -359,12 +359,12 @@
   load.entry_count = entries->count;
   load.keys = keys->sval;
   load.key_count = keys->count;
-  load.request_count = value_or (requests, 1000);
-  load.concurrency = value_or (concurrency, 32);
-  load.rate_per_s = value_or (rate_per_s, 0);
-  load.deadline_ms = value_or (deadline, 10000);
-  load.run_ms = value_or (run_ms, 5);
-  load.idempotent_percent = value_or (idempotent, 0);
+  load.request_count = value_or_default (requests, 1000);
+  load.concurrency = value_or_default (concurrency, 32);
+  load.rate_per_s = value_or_default (rate_per_s, 0);
+  load.deadline_ms = value_or_default (deadline, 10000);
+  load.run_ms = value_or_default (run_ms, 5);
+  load.idempotent_percent = value_or_default (idempotent, 0);
   load.request_ids = request_ids->count > 0;
   load.urgent = urgent->count > 0;
   if (help->count > 0)
--- a/src/transport/net.c
+++ b/src/transport/net.c
@@ -42,7 +42,7 @@
 struct command
 {
   enum command_kind kind;
-  uint64_t connection;
+  uint64_t connection_id;
   char address[RST_ADDRESS_SIZE];
   GByteArray *frame;
 };
@@ -53,7 +53,7 @@
   int fd;
   bool connecting;
   GByteArray *receive_buffer;
-  GByteArray *out;
+  GByteArray *send_buffer;
   rst_ms received_at;
   rst_ms sent_at;
 };
@@ -79,7 +79,7 @@
 
   close (connection->fd);
   g_byte_array_free (connection->receive_buffer, TRUE);
-  g_byte_array_free (connection->out, TRUE);
+  g_byte_array_free (connection->send_buffer, TRUE);
   g_free (connection);
 }
 
@@ -94,7 +94,7 @@
   connection->fd = fd;
   connection->connecting = connecting;
   connection->receive_buffer = g_byte_array_new ();
-  connection->out = g_byte_array_new ();
+  connection->send_buffer = g_byte_array_new ();
   connection->received_at = rst_os_now ();
   connection->sent_at = connection->received_at;
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
@@ -129,7 +129,7 @@
   struct epoll_event event = { 0 };
 
   event.events = EPOLLIN;
-  if (connection->connecting || connection->out->len > 0)
+  if (connection->connecting || connection->send_buffer->len > 0)
     event.events |= EPOLLOUT;
   event.data.u64 = connection->id;
   epoll_ctl (net->epoll_fd, EPOLL_CTL_MOD, connection->fd, &event);
@@ -139,12 +139,12 @@
 static bool
 flush (struct rst_net *net, struct connection *connection)
 {
-  guint unsent_bytes = connection->out->len;
+  guint unsent_bytes = connection->send_buffer->len;
 
-  while (connection->out->len > 0)
+  while (connection->send_buffer->len > 0)
     {
-      ssize_t count = send (connection->fd, connection->out->data,
-                            connection->out->len, MSG_NOSIGNAL);
+      ssize_t count = send (connection->fd, connection->send_buffer->data,
+                            connection->send_buffer->len, MSG_NOSIGNAL);
 
       if (count < 0 && errno == EINTR)
         continue;
@@ -156,7 +156,7 @@
           return false;
         }
       connection->sent_at = rst_os_now ();
-      g_byte_array_remove_range (connection->out, 0, (guint)count);
+      g_byte_array_remove_range (connection->send_buffer, 0, (guint)count);
     }
   if (unsent_bytes > 0)
     update_epoll_events (net, connection);
@@ -168,17 +168,17 @@
 {
   uint32_t prefix = htonl ((uint32_t)length);
 
-  g_byte_array_append (connection->out, (const guint8 *)&prefix,
+  g_byte_array_append (connection->send_buffer, (const guint8 *)&prefix,
                        RST_NET_PREFIX_BYTES);
   if (length > 0)
-    g_byte_array_append (connection->out, data, (guint)length);
+    g_byte_array_append (connection->send_buffer, data, (guint)length);
 }
 
 static void
 send_frame (struct rst_net *net, struct connection *connection,
             const GByteArray *frame)
 {
-  if (connection->out->len + frame->len > net->config.max_unsent_bytes)
+  if (connection->send_buffer->len + frame->len > net->config.max_unsent_bytes)
     {
       rst_warning (LOG_DOMAIN, "Peer does not read; connection closed.");
       close_connection (net, connection, "peer does not read");
@@ -204,13 +204,13 @@
   if (connect (fd, (struct sockaddr *)&address, sizeof address) != 0
       && errno != EINPROGRESS)
     goto fail;
-  add_connection (net, command->connection, fd, true);
+  add_connection (net, command->connection_id, fd, true);
   return;
 
 fail:
   if (fd >= 0)
     close (fd);
-  emit_event (net, RST_NET_CLOSED, command->connection, reason,
+  emit_event (net, RST_NET_CLOSED, command->connection_id, reason,
               sizeof reason - 1);
 }
 
@@ -218,7 +218,7 @@
 process_command (struct rst_net *net, const struct command *command)
 {
   struct connection *connection
-      = g_hash_table_lookup (net->connections, &command->connection);
+      = g_hash_table_lookup (net->connections, &command->connection_id);
 
   if (command->kind == COMMAND_CONNECT)
     start_connect (net, command);
@@ -523,19 +523,19 @@
   uint64_t id = atomic_fetch_add (&net->next_id, 1);
 
   command->kind = COMMAND_CONNECT;
-  command->connection = id;
+  command->connection_id = id;
   g_strlcpy (command->address, address, sizeof command->address);
   return post_command (net, command) ? id : 0;
 }
 
 int
-rst_net_send (struct rst_net *net, uint64_t connection, const void *data,
+rst_net_send (struct rst_net *net, uint64_t connection_id, const void *data,
               size_t length)
 {
   struct command *command = g_new0 (struct command, 1);
 
   command->kind = COMMAND_SEND;
-  command->connection = connection;
+  command->connection_id = connection_id;
   command->frame = g_byte_array_sized_new ((guint)length);
   g_byte_array_append (command->frame, data, (guint)length);
   return post_command (net, command) ? RST_TRANSPORT_OK
@@ -543,12 +543,12 @@
 }
 
 void
-rst_net_close (struct rst_net *net, uint64_t connection)
+rst_net_close (struct rst_net *net, uint64_t connection_id)
 {
   struct command *command = g_new0 (struct command, 1);
 
   command->kind = COMMAND_CLOSE;
-  command->connection = connection;
+  command->connection_id = connection_id;
   post_command (net, command);
 }
 
--- a/src/transport/net.h
+++ b/src/transport/net.h
@@ -36,14 +36,14 @@
 /**
  * typedef rst_net_handler - Receives events on the net's thread.
  * @event: What happened.
- * @connection: Number of the connection, never used twice.
+ * @connection_id: Number of the connection, never used twice.
  * @data: The frame's bytes, valid during the call; or the reason for closing.
  * @length: Their number.
  * @userdata: From the configuration.
  */
-typedef void (*rst_net_handler) (enum rst_net_event event, uint64_t connection,
-                                 const void *data, size_t length,
-                                 void *userdata);
+typedef void (*rst_net_handler) (enum rst_net_event event,
+                                 uint64_t connection_id, const void *data,
+                                 size_t length, void *userdata);
 
 /**
  * struct rst_net_config - How a net is set up.
@@ -92,7 +92,7 @@
 /**
  * rst_net_send() - Sends a frame, from any thread.
  * @net: The net.
- * @connection: Number of the connection.
+ * @connection_id: Number of the connection.
  * @data: The frame, copied.
  * @length: Its length in bytes.
  *
@@ -101,15 +101,15 @@
  *
  * Return: RST_TRANSPORT_OK or RST_TRANSPORT_QUEUE_FULL.
  */
-int rst_net_send (struct rst_net *net, uint64_t connection, const void *data,
-                  size_t length);
+int rst_net_send (struct rst_net *net, uint64_t connection_id,
+                  const void *data, size_t length);
 
 /**
  * rst_net_close() - Closes a connection, from any thread.
  * @net: The net.
- * @connection: Number of the connection.
+ * @connection_id: Number of the connection.
  */
-void rst_net_close (struct rst_net *net, uint64_t connection);
+void rst_net_close (struct rst_net *net, uint64_t connection_id);
 
 /**
  * rst_net_destroy() - Stops a net and closes its connections.
