--- a/src/load/load.c
+++ b/src/load/load.c
@@ -1,8 +1,9 @@
 /**
- * DOC: load - sends queries to entries and accounts for each of them
+ * DOC: load - load generator that records the outcome of each query
  *
- * Stands where callers and the balancer stand: a request goes to the entries
- * in turn; one that was not run is tried again on the next entry.
+ * Acts as the callers and their load balancer: requests are distributed over
+ * the entries round robin, and a request that was not run is retried on the
+ * next entry.
  */
 #include <math.h>
 #include <stdio.h>
@@ -21,19 +22,18 @@
 
 #define PROGRAM "rosemarystile-load"
 
-/** Most entries and keys. */
+/** Maximum number of --entry and --key options. */
 #define ENTRIES_MAX 64
 #define KEYS_MAX 64
 
-/** Most tries of one request. */
+/** Maximum number of times that a request is sent. */
 #define ATTEMPTS_MAX 6
 
-/** Time after the deadline at which a request counts as lost. */
+/** Time after its deadline at which an unanswered request counts as lost. */
 #define LOST_AFTER_MS 5000
 
 struct load;
 
-/* One request. */
 struct request
 {
   struct load *load;
@@ -91,7 +91,8 @@
   g_free (request);
 }
 
-/* Whether an answer belongs to this request and is whole. */
+/* Checks that a response is complete and carries the number and the salt of
+   this request; one that does not is counted as "crossed". */
 static bool
 is_matching_answer (const struct request *request,
                     const struct rst_http_result *result)
@@ -204,8 +205,8 @@
   return request;
 }
 
-/* Waits until another request may begin: at most a number of them at once,
-   or at a steady rate. */
+/* Waits until the next request may be sent, at a fixed rate if one is set and
+   with a bounded number of requests in flight otherwise. */
 static void
 wait_for_turn (struct load *load, int64_t started_us)
 {
@@ -329,24 +330,27 @@
   struct arg_lit *help = arg_lit0 ("h", "help", "show this help");
   struct arg_lit *version = arg_lit0 (NULL, "version", "show the version");
   struct arg_str *entries = arg_strn (NULL, "entry", "IP:PORT", 0, ENTRIES_MAX,
-                                      "an entry; repeat it");
-  struct arg_str *keys
-      = arg_strn (NULL, "key", "KEY", 0, KEYS_MAX, "a team's key; repeat it");
+                                      "address of an entry; repeatable");
+  struct arg_str *keys = arg_strn (NULL, "key", "KEY", 0, KEYS_MAX,
+                                   "API key of a team; repeatable");
   struct arg_int *requests
-      = arg_int0 (NULL, "requests", "N", "requests to send (1000)");
+      = arg_int0 (NULL, "requests", "N", "number of requests to send (1000)");
   struct arg_int *concurrency
-      = arg_int0 (NULL, "concurrency", "N", "requests at once (32)");
+      = arg_int0 (NULL, "concurrency", "N",
+                  "requests in flight, unless --rate is set (32)");
   struct arg_int *rate_per_s = arg_int0 (
-      NULL, "rate", "N", "requests a second, whatever is answered");
-  struct arg_int *deadline
-      = arg_int0 (NULL, "deadline-ms", "N", "deadline of each (10000)");
-  struct arg_int *run_ms
-      = arg_int0 (NULL, "run-ms", "N", "run time on the runner (5)");
-  struct arg_int *idempotent = arg_int0 (NULL, "idempotent-percent", "N",
-                                         "part marked idempotent (0)");
-  struct arg_lit *request_ids
-      = arg_lit0 (NULL, "request-ids", "send an Idempotency-Key with each");
-  struct arg_lit *urgent = arg_lit0 (NULL, "urgent", "mark all as urgent");
+      NULL, "rate", "N", "requests per second, whether answered or not");
+  struct arg_int *deadline = arg_int0 (NULL, "deadline-ms", "N",
+                                       "deadline of each request (10000)");
+  struct arg_int *run_ms = arg_int0 (
+      NULL, "run-ms", "N", "run time of each request on the runner (5)");
+  struct arg_int *idempotent
+      = arg_int0 (NULL, "idempotent-percent", "N",
+                  "percentage of requests marked idempotent (0)");
+  struct arg_lit *request_ids = arg_lit0 (
+      NULL, "request-ids", "send an Idempotency-Key with each request");
+  struct arg_lit *urgent
+      = arg_lit0 (NULL, "urgent", "mark all requests as urgent");
   struct arg_end *end = arg_end (4);
   void *table[] = { help,        version,    entries,  keys,   requests,
                     concurrency, rate_per_s, deadline, run_ms, idempotent,
@@ -371,7 +375,8 @@
     {
       printf ("Usage: " PROGRAM);
       arg_print_syntax (stdout, table, "\n");
-      printf ("Sends queries and accounts for each in one line of JSON.\n");
+      printf ("Sends queries and prints counts of their outcomes as one "
+              "line of JSON.\n");
       arg_print_glossary (stdout, table, "  %-28s %s\n");
       status = EXIT_SUCCESS;
     }
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -13,16 +13,16 @@
 #include "util/mailbox.h"
 #include "util/os.h"
 
-/** Bound on requests waiting for the client's thread. */
+/** Capacity of the queue of requests for the client's thread. */
 #define CLIENT_QUEUE_SIZE 16384
 
-/** Longest sleep of the client's thread, in milliseconds. */
+/** Longest wait of the client's thread for events, in milliseconds. */
 #define CLIENT_POLL_MS 1000
 
-/** Bound on an answer's size in bytes. */
+/** Maximum size of a response body; a larger one fails the request. */
 #define CLIENT_RESPONSE_MAX_BYTES (8 * 1024 * 1024)
 
-/** Idle connections older than this many seconds are not used again. */
+/** Connections idle for longer than this are not reused. */
 #define CLIENT_IDLE_MAX_S 20
 
 struct transfer
@@ -89,7 +89,7 @@
   curl_easy_setopt (easy, CURLOPT_CUSTOMREQUEST, transfer->method);
 }
 
-/* Ends a transfer that libcurl never saw. */
+/* Completes a transfer that was never passed to libcurl. */
 static void
 finish_unsent (struct transfer *transfer)
 {
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -25,7 +25,8 @@
 {
   struct rst_http_server *server;
   struct MHD_Connection *connection;
-  /* Set by the thread that replies, read by the server's. */
+  /* A value of enum request_state.  Set by the thread that replies and read
+     by the server's thread. */
   atomic_int state;
   char *method;
   char *path;
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,8 +1,8 @@
 /**
  * DOC: http_server - HTTP/1.1 server with deferred replies
  *
- * One thread of libmicrohttpd serves each server.  A request is handed over
- * once its body is whole, and may be replied to later from any thread.
+ * Each server runs one libmicrohttpd thread.  The handler receives a request
+ * once its body is complete; any thread may reply to it later.
  */
 #ifndef RST_HTTP_SERVER_H
 #define RST_HTTP_SERVER_H
@@ -14,23 +14,27 @@
 struct rst_http_request;
 
 /**
- * typedef rst_http_handler - Receives a whole request.
+ * typedef rst_http_handler - Handles a request whose body is complete.
+ * @request: The request, valid until it is replied to or aborted.
+ * @userdata: From the configuration.
  *
- * Called on the server's thread.  The handler must see to exactly one
- * rst_http_request_reply() for the request.
+ * Called on the server's thread.  Each request needs exactly one call of
+ * rst_http_request_reply(), rst_http_request_reply_json() or
+ * rst_http_request_abort(), during the callback or later.
  */
 typedef void (*rst_http_handler) (struct rst_http_request *request,
                                   void *userdata);
 
 /**
- * struct rst_http_server_config - How a server is set up.
- * @address: "IP:PORT"; port 0 lets the kernel choose.
- * @max_body_bytes: Bound on a request's body in bytes; larger ones get 413.
- * @max_connections: Bound on open connections.
- * @max_connections_per_ip: Bound on connections from one IP number; 0 for
- * none.
- * @idle_timeout_s: Idle time in seconds after which a connection is closed.
- * @handler: Receives the requests.
+ * struct rst_http_server_config - Configuration of a server.
+ * @address: Listening address "IP:PORT"; port 0 lets the kernel choose.
+ * @max_body_bytes: Maximum size of a request body; larger ones are rejected
+ *   with status 413.
+ * @max_connections: Maximum number of open connections.
+ * @max_connections_per_ip: Maximum number of connections from one IP address;
+ *   0 for no limit.
+ * @idle_timeout_s: Idle time after which a connection is closed.
+ * @handler: Request handler.
  * @userdata: Passed to @handler.
  */
 struct rst_http_server_config
@@ -45,81 +49,91 @@
 };
 
 /**
- * rst_http_server_create() - Starts a server.
- * @config: How it is set up; strings are copied.
+ * rst_http_server_create() - Creates a server and starts its thread.
+ * @config: The configuration, copied; @config->address is read during the call
+ *   only.
  * @out: Receives the server.
  *
- * Return: RST_TRANSPORT_OK or RST_TRANSPORT_BAD_ADDRESS.
+ * Return: RST_TRANSPORT_OK, or RST_TRANSPORT_BAD_ADDRESS if the address is
+ * malformed or the server could not be started on it.
  */
 int rst_http_server_create (const struct rst_http_server_config *config,
                             struct rst_http_server **out);
 
 /**
- * rst_http_server_address() - The address in use, with the real port.
+ * rst_http_server_address() - Returns the listening address.
  * @server: The server.
+ *
+ * Return: "IP:PORT" with the port actually bound; owned by the server.
  */
 const char *rst_http_server_address (const struct rst_http_server *server);
 
 /**
- * rst_http_server_destroy() - Stops a server.
+ * rst_http_server_destroy() - Stops the server's thread and frees the server.
  * @server: The server, or NULL.
  *
- * Requests without a reply get 503; nobody may reply to them afterwards.
+ * Requests that are still pending are replied to with status 503; the caller
+ * must not reply to them any more.
  */
 void rst_http_server_destroy (struct rst_http_server *server);
 
 /**
- * rst_http_server_disable_keep_alive() - Lets connections end at a planned
- * stop.
+ * rst_http_server_disable_keep_alive() - Stops the reuse of connections.
  * @server: The server.
  *
- * Each answer from now on tells its caller that the connection closes.
+ * All later responses carry "Connection: close", so that clients leave before
+ * a planned shutdown.
  */
 void rst_http_server_disable_keep_alive (struct rst_http_server *server);
 
-/** rst_http_request_method() - The request's method, such as "GET". */
+/** rst_http_request_method() - Returns the method, such as "GET". */
 const char *rst_http_request_method (const struct rst_http_request *request);
 
-/** rst_http_request_path() - The request's path, without the query. */
+/** rst_http_request_path() - Returns the path without the query string. */
 const char *rst_http_request_path (const struct rst_http_request *request);
 
-/** rst_http_request_header() - A header's value, or NULL. */
+/** rst_http_request_header() - Returns the value of a header, or NULL. */
 const char *rst_http_request_header (const struct rst_http_request *request,
                                      const char *name);
 
-/** rst_http_request_query() - A query argument's value, or NULL. */
+/** rst_http_request_query() - Returns a query parameter's value, or NULL. */
 const char *rst_http_request_query (const struct rst_http_request *request,
                                     const char *name);
 
-/** rst_http_request_body() - The body, with a NUL after its @length bytes. */
+/**
+ * rst_http_request_body() - Returns the NUL-terminated request body.
+ * @request: The request, which owns the body.
+ * @length: Receives the length in bytes without the NUL; or NULL.
+ */
 const char *rst_http_request_body (const struct rst_http_request *request,
                                    size_t *length);
 
 /**
- * rst_http_request_reply() - Answers a request, from any thread.
- * @request: The request; not to be used afterwards.
+ * rst_http_request_reply() - Replies to a request; may be called from any
+ * thread.
+ * @request: The request; must not be used afterwards.
  * @status: HTTP status.
- * @content_type: Content type, or NULL for JSON.
- * @body: The body, copied.
- * @length: Its length in bytes.
- * @retry_after_s: Value of Retry-After in seconds; 0 for none.
+ * @content_type: Content type, or NULL for "application/json".
+ * @body: Response body, copied.
+ * @length: Length of @body in bytes.
+ * @retry_after_s: Value of the Retry-After header in seconds; 0 to omit it.
  */
 void rst_http_request_reply (struct rst_http_request *request, unsigned status,
                              const char *content_type, const void *body,
                              size_t length, unsigned retry_after_s);
 
 /**
- * rst_http_request_reply_json() - Answers with a string as JSON.
- * @request: The request; not to be used afterwards.
+ * rst_http_request_reply_json() - Replies with a string of JSON.
+ * @request: The request; must not be used afterwards.
  * @status: HTTP status.
- * @text: The body, copied.
+ * @text: NUL-terminated response body, copied.
  */
 void rst_http_request_reply_json (struct rst_http_request *request,
                                   unsigned status, const char *text);
 
 /**
- * rst_http_request_abort() - Closes the connection without an answer.
- * @request: The request; not to be used afterwards.
+ * rst_http_request_abort() - Closes the connection without a response.
+ * @request: The request; must not be used afterwards.
  */
 void rst_http_request_abort (struct rst_http_request *request);
 
--- a/src/transport/http_sync.h
+++ b/src/transport/http_sync.h
@@ -1,7 +1,7 @@
 /**
- * DOC: http_sync - one HTTP call that the caller waits for
+ * DOC: http_sync - blocking HTTP request
  *
- * For tools; the daemons use http_client.
+ * For command line tools; daemons use http_client.
  */
 #ifndef RST_HTTP_SYNC_H
 #define RST_HTTP_SYNC_H
@@ -11,13 +11,13 @@
 #include "rosemarystile.h"
 
 /**
- * rst_http_sync_request() - Makes a call and waits for its end.
- * @method: Such as "GET".
- * @url: The whole URL.
- * @body: The body, or NULL.
- * @timeout_ms: Bound on the whole exchange.
- * @status: Receives the HTTP status.
- * @response: Receives the body of the answer.
+ * rst_http_sync_request() - Sends a request and waits for the response.
+ * @method: HTTP method, such as "GET".
+ * @url: Absolute URL.
+ * @body: NUL-terminated request body, or NULL.
+ * @timeout_ms: Timeout of the whole exchange.
+ * @status: Receives the HTTP status; 0 if no status line arrived.
+ * @response: Receives the response body; its earlier contents are discarded.
  *
  * Return: A value of enum rst_transport_error.
  */
--- a/src/transport/net.c
+++ b/src/transport/net.c
@@ -20,16 +20,16 @@
 
 #define LOG_DOMAIN "net"
 
-/** Bound on commands waiting for the net's thread. */
+/** Capacity of the queue of commands for the network thread. */
 #define NET_QUEUE_SIZE 32768
 
-/** Events taken from epoll at once. */
+/** Maximum number of events returned by one epoll_wait(). */
 #define NET_EVENTS_MAX 64
 
-/** Bytes read from a socket at once. */
+/** Maximum number of bytes read from a socket per event. */
 #define NET_READ_MAX_BYTES 65536
 
-/** Connections waiting to be accepted. */
+/** Listen backlog: connections waiting to be accepted. */
 #define NET_BACKLOG 256
 
 enum command_kind
@@ -135,7 +135,8 @@
   epoll_ctl (net->epoll_fd, EPOLL_CTL_MOD, connection->fd, &event);
 }
 
-/* Returns false when the connection was dropped. */
+/* Sends buffered bytes until the socket would block.  Returns false if the
+   connection was closed and freed. */
 static bool
 flush (struct rst_net *net, struct connection *connection)
 {
@@ -266,8 +267,8 @@
     }
 }
 
-/* Hands over all whole frames.  Returns false when the connection was
-   dropped. */
+/* Reports all complete frames in the receive buffer.  Returns false if the
+   connection was closed and freed. */
 static bool
 deliver_frames (struct rst_net *net, struct connection *connection)
 {
@@ -360,7 +361,8 @@
     receive_data (net, connection);
 }
 
-/* Sends heartbeats and finds silent connections. */
+/* Closes connections on which nothing was received within the timeout, and
+   sends heartbeats on the others. */
 static void
 check_connections (struct rst_net *net, rst_ms now)
 {
@@ -473,7 +475,7 @@
 
   net->config = *config;
   net->listen_fd = -1;
-  /* 0 and 1 mark the mailbox and the listener in epoll. */
+  /* In epoll, the ids 0 and 1 denote the mailbox and the listening socket. */
   atomic_init (&net->next_id, 2);
   net->connections = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
                                             connection_free);
@@ -489,7 +491,7 @@
         goto fail;
       add_epoll_fd (net, net->listen_fd, 1);
     }
-  /* Handlers may use the net as soon as its thread runs. */
+  /* The handler may use *out as soon as the thread runs. */
   *out = net;
   if (pthread_create (&net->thread, NULL, net_main, net) != 0)
     goto fail;
--- a/src/transport/net.h
+++ b/src/transport/net.h
@@ -1,10 +1,11 @@
 /**
  * DOC: net - length-prefixed frames over TCP
  *
- * One thread with epoll carries all connections.  A frame is a length of four
- * bytes, most significant first, and that many bytes.  A frame of length 0
- * is a heartbeat.  A connection that stays silent, breaks the framing or
- * exceeds a bound is closed; others are not touched.
+ * One thread serves all connections of a struct rst_net with epoll.  A frame
+ * is a 32-bit big-endian length followed by that many bytes of payload; a
+ * frame of length 0 is a heartbeat and is not reported.  A connection on which
+ * nothing is received for too long, or that exceeds a size limit, is closed;
+ * the other connections are not affected.
  */
 #ifndef RST_NET_H
 #define RST_NET_H
@@ -17,14 +18,15 @@
 
 struct rst_net;
 
-/** Bytes before each frame. */
+/** Size of the length prefix of a frame. */
 #define RST_NET_PREFIX_BYTES 4
 
 /**
- * enum rst_net_event - What happened to a connection.
- * @RST_NET_OPENED: It can carry frames.
- * @RST_NET_FRAME: A frame arrived.
- * @RST_NET_CLOSED: It is gone; or could not be opened.
+ * enum rst_net_event - Events of a connection.
+ * @RST_NET_OPENED: The connection was established or accepted.
+ * @RST_NET_FRAME: A frame was received.
+ * @RST_NET_CLOSED: The connection was closed or could not be established; the
+ *   last event of a connection.
  */
 enum rst_net_event
 {
@@ -34,26 +36,33 @@
 };
 
 /**
- * typedef rst_net_handler - Receives events on the net's thread.
- * @event: What happened.
- * @connection_id: Number of the connection, never used twice.
- * @data: The frame's bytes, valid during the call; or the reason for closing.
- * @length: Their number.
+ * typedef rst_net_handler - Handles an event.
+ * @event: The event.
+ * @connection_id: Id of the connection; ids are never reused.
+ * @data: Payload of the frame, or a text with the reason for closing; valid
+ *   during the call only.
+ * @length: Length of @data in bytes.
  * @userdata: From the configuration.
+ *
+ * Called on the network thread.
  */
 typedef void (*rst_net_handler) (enum rst_net_event event,
                                  uint64_t connection_id, const void *data,
                                  size_t length, void *userdata);
 
 /**
- * struct rst_net_config - How a net is set up.
- * @listen: "IP:PORT" to listen on, or NULL; port 0 lets the kernel choose.
- * @max_frame_bytes: Bound on a frame in bytes.
- * @max_unsent_bytes: Bound on unsent bytes of one connection.
- * @heartbeat_interval_ms: Time between heartbeats.
- * @receive_timeout_ms: Time without any byte after which a connection is
- * closed.
- * @handler: Receives events.
+ * struct rst_net_config - Configuration of the network thread.
+ * @listen: "IP:PORT" to listen on, or NULL for outgoing connections only; port
+ *   0 lets the kernel choose.
+ * @max_frame_bytes: Maximum payload of a received frame; a connection with a
+ *   larger one is closed.
+ * @max_unsent_bytes: Maximum of buffered unsent bytes of one connection; it is
+ *   closed if a frame would exceed it.
+ * @heartbeat_interval_ms: Longest time without sending on an open connection;
+ *   a heartbeat is sent within it.
+ * @receive_timeout_ms: Time without a received byte after which a connection
+ *   is closed; it bounds connecting as well.
+ * @handler: Event handler.
  * @userdata: Passed to @handler.
  */
 struct rst_net_config
@@ -68,52 +77,64 @@
 };
 
 /**
- * rst_net_create() - Starts a net.
- * @config: How it is set up.
- * @out: Receives the net.
+ * rst_net_create() - Starts the network thread.
+ * @config: The configuration, copied; @config->listen is read during the call
+ *   only.
+ * @out: Receives the object, before the first event is delivered.
  *
- * Return: RST_TRANSPORT_OK or RST_TRANSPORT_BAD_ADDRESS.
+ * Return: RST_TRANSPORT_OK, or RST_TRANSPORT_BAD_ADDRESS if the address cannot
+ * be listened on or a resource could not be allocated.
  */
 int rst_net_create (const struct rst_net_config *config, struct rst_net **out);
 
-/** rst_net_address() - The listening address with its real port, or "". */
+/**
+ * rst_net_address() - Returns the listening address.
+ * @net: The network thread.
+ *
+ * Return: "IP:PORT" with the port actually bound, or "" if it does not listen.
+ */
 const char *rst_net_address (const struct rst_net *net);
 
 /**
- * rst_net_connect() - Opens a connection, from any thread.
- * @net: The net.
- * @address: "IP:PORT".
+ * rst_net_connect() - Opens a connection; may be called from any thread.
+ * @net: The network thread.
+ * @address: "IP:PORT" of the peer.
  *
- * Return: The connection's number; its outcome comes as an event.  0 when
- * the queue is full.
+ * Return: The id of the connection, whose outcome is reported as an event; 0
+ * if the command queue is full.
  */
 uint64_t rst_net_connect (struct rst_net *net, const char *address);
 
 /**
- * rst_net_send() - Sends a frame, from any thread.
- * @net: The net.
- * @connection_id: Number of the connection.
- * @data: The frame, copied.
- * @length: Its length in bytes.
+ * rst_net_send() - Sends a frame; may be called from any thread.
+ * @net: The network thread.
+ * @connection_id: Id of the connection.
+ * @data: Payload of the frame, copied.
+ * @length: Length of @data in bytes.
  *
- * A frame for a connection that is gone is dropped; its closing has been or
- * will be reported.
+ * A frame for a closed connection is discarded; RST_NET_CLOSED has been or
+ * will be reported for it.
  *
- * Return: RST_TRANSPORT_OK or RST_TRANSPORT_QUEUE_FULL.
+ * Return: RST_TRANSPORT_OK, or RST_TRANSPORT_QUEUE_FULL if the command queue
+ * is full.
  */
 int rst_net_send (struct rst_net *net, uint64_t connection_id,
                   const void *data, size_t length);
 
 /**
- * rst_net_close() - Closes a connection, from any thread.
- * @net: The net.
- * @connection_id: Number of the connection.
+ * rst_net_close() - Closes a connection; may be called from any thread.
+ * @net: The network thread.
+ * @connection_id: Id of the connection; unknown ids are ignored.
+ *
+ * The command is lost if the command queue is full.
  */
 void rst_net_close (struct rst_net *net, uint64_t connection_id);
 
 /**
- * rst_net_destroy() - Stops a net and closes its connections.
- * @net: The net, or NULL.
+ * rst_net_destroy() - Stops the network thread and closes its connections.
+ * @net: The network thread, or NULL.
+ *
+ * Connections that are still open are closed without an event.
  */
 void rst_net_destroy (struct rst_net *net);
 
--- a/src/transport/transport.h
+++ b/src/transport/transport.h
@@ -1,5 +1,5 @@
 /**
- * DOC: transport - errors of the transport layer
+ * DOC: transport - errors and addresses of the transport layer
  */
 #ifndef RST_TRANSPORT_H
 #define RST_TRANSPORT_H
@@ -9,13 +9,17 @@
 #include <netinet/in.h>
 
 /**
- * enum rst_transport_error - How an exchange over the network ended.
- * @RST_TRANSPORT_OK: A whole answer arrived.
- * @RST_TRANSPORT_NOT_SENT: Nothing of the request left this process.
- * @RST_TRANSPORT_TIMEOUT: The request may have arrived; no answer in time.
- * @RST_TRANSPORT_BROKEN: The request may have arrived; the connection broke.
- * @RST_TRANSPORT_QUEUE_FULL: A bounded queue was full; nothing was sent.
- * @RST_TRANSPORT_BAD_ADDRESS: An address could not be used.
+ * enum rst_transport_error - Errors of the transport layer.
+ * @RST_TRANSPORT_OK: Success; a request has its complete response.
+ * @RST_TRANSPORT_NOT_SENT: No byte of the request was sent, so the peer has
+ *   not acted on it.
+ * @RST_TRANSPORT_TIMEOUT: No response within the timeout; the peer may have
+ *   received the request.
+ * @RST_TRANSPORT_BROKEN: The exchange failed before the complete response
+ *   arrived; the peer may have received the request.
+ * @RST_TRANSPORT_QUEUE_FULL: The local queue was full; nothing was sent.
+ * @RST_TRANSPORT_BAD_ADDRESS: An address is malformed or cannot be listened
+ *   on.
  */
 enum rst_transport_error
 {
@@ -28,7 +32,7 @@
 };
 
 /**
- * rst_transport_strerror() - Describes an error of this layer.
+ * rst_transport_strerror() - Returns a description of an error.
  * @error: A value of enum rst_transport_error.
  *
  * Return: A static string.
@@ -36,18 +40,18 @@
 const char *rst_transport_strerror (int error);
 
 /**
- * rst_transport_parse_address() - Reads an "IP:PORT" address.
- * @text: The text.
- * @out: Receives the address.
+ * rst_transport_parse_address() - Parses an "IP:PORT" address.
+ * @text: The address; IPv4 only.
+ * @out: Receives the parsed address.
  *
- * Return: false when the text is malformed.
+ * Return: false if the text is malformed.
  */
 bool rst_transport_parse_address (const char *text, struct sockaddr_in *out);
 
 /**
- * rst_transport_format_address() - Writes an address as "IP:PORT".
+ * rst_transport_format_address() - Formats an address as "IP:PORT".
  * @address: The address.
- * @out: Receives the text.
+ * @out: Receives the text, truncated to @size.
  * @size: Size of @out in bytes.
  */
 void rst_transport_format_address (const struct sockaddr_in *address,
--- a/src/util/conf.c
+++ b/src/util/conf.c
@@ -38,7 +38,7 @@
   return g_ascii_string_to_unsigned (colon + 1, 10, 0, PORT_MAX, &port, NULL);
 }
 
-/* Follows a dotted path down nested objects. */
+/* Looks up a dotted path in nested objects. */
 static bool
 find_path (struct json_object *object, const char *path,
            struct json_object **out)
--- a/src/util/conf.h
+++ b/src/util/conf.h
@@ -1,9 +1,10 @@
 /**
- * DOC: conf - settings files in JSON with comments, checked as a whole
+ * DOC: conf - validated settings in JSON with comments
  *
- * A program describes its settings as a table of fields.  Each problem found
- * gives one line that names the field's path; nothing is applied when there
- * is any problem.
+ * A program describes its settings as a table of fields.  All fields are
+ * checked even after an error, and each problem yields one line that starts
+ * with the path of the field.  If there is any problem, the target may
+ * be partly filled and none of the settings may be applied.
  */
 #ifndef RST_CONF_H
 #define RST_CONF_H
@@ -16,15 +17,17 @@
 #include <json-c/json.h>
 
 /**
- * enum rst_conf_type - Kinds of settings.
- * @RST_CONF_STRING: Text; the target is a char array.
- * @RST_CONF_NAME: Text of letters, digits, '-', '_' and '.'; a char array.
- * @RST_CONF_ADDRESS: "IP:PORT" with an IP number; a char array.
- * @RST_CONF_INTEGER: A whole number; the target is an int64_t.
+ * enum rst_conf_type - Types of settings.
+ * @RST_CONF_STRING: String; the target is a char array.
+ * @RST_CONF_NAME: String accepted by rst_conf_is_name(); the target is a char
+ *   array.
+ * @RST_CONF_ADDRESS: String accepted by rst_conf_is_address(); the target is a
+ *   char array.
+ * @RST_CONF_INTEGER: Integer; the target is an int64_t.
  * @RST_CONF_BOOL: true or false; the target is a bool.
- * @RST_CONF_CHOICE: One of the words in choices; a char array.
- * @RST_CONF_LIST: An array; the target is a struct json_object pointer, to
- *   be released with json_object_put().
+ * @RST_CONF_CHOICE: One of the strings in choices; the target is a char array.
+ * @RST_CONF_LIST: Array; the target is a struct json_object pointer that the
+ *   caller releases with json_object_put().
  */
 enum rst_conf_type
 {
@@ -38,15 +41,15 @@
 };
 
 /**
- * struct rst_conf_field - Describes one setting.
+ * struct rst_conf_field - Description of one setting.
  * @path: Path with dots between levels, such as "store.address".
- * @type: Kind.
- * @required: Whether it must be present.
- * @offset: Offset of the target in the program's structure.
- * @size: Size of the target when it is a char array.
- * @min: Least value of an integer.
- * @max: Largest value of an integer.
- * @choices: Words of a choice, NULL at the end.
+ * @type: Type.
+ * @required: Whether the setting must be present.
+ * @offset: Offset of the target in the program's structure, in bytes.
+ * @size: Size of the target in bytes if it is a char array.
+ * @min: Minimum of an integer.
+ * @max: Maximum of an integer.
+ * @choices: NULL-terminated array of the strings that a choice accepts.
  */
 struct rst_conf_field
 {
@@ -60,11 +63,13 @@
   const char *const *choices;
 };
 
+/** RST_CONF_STRING_FIELD() - Initializer of a field in a char array. */
 #define RST_CONF_STRING_FIELD(path, type, required, structure, member)        \
   {                                                                           \
     path, type, required, offsetof (structure, member),                       \
         sizeof (((structure *)0)->member), 0, 0, NULL                         \
   }
+/** RST_CONF_INTEGER_FIELD() - Initializer of an integer field. */
 #define RST_CONF_INTEGER_FIELD(path, required, structure, member, min, max)   \
   {                                                                           \
     path, RST_CONF_INTEGER, required, offsetof (structure, member), 0, min,   \
@@ -72,46 +77,56 @@
   }
 
 /**
- * rst_conf_read() - Checks a JSON object against a table and fills a target.
+ * rst_conf_read() - Validates a JSON object and copies it to a structure.
  * @object: The object.
- * @fields: The table.
+ * @fields: Table of the accepted fields; others are reported as unknown.
  * @count: Number of fields.
- * @target: Structure to fill, already holding the defaults.
- * @problems: Receives one line for each problem.
+ * @target: Structure to fill, initialized with the defaults.
+ * @problems: One line per problem is appended.
  *
- * Return: true when there was no problem.
+ * Return: true if there was no problem.
  */
 bool rst_conf_read (struct json_object *object,
                     const struct rst_conf_field *fields, int count,
                     void *target, GString *problems);
 
 /**
- * rst_conf_parse() - Reads JSON with comments from text.
+ * rst_conf_parse() - Parses JSON with comments.
  * @text: The text.
- * @problems: Receives a line when it cannot be read.
+ * @problems: A line is appended if the text is not valid JSON.
  *
- * Return: The object, to be released with json_object_put(), or NULL.
+ * Return: The value, to be released with json_object_put(), or NULL.
  */
 struct json_object *rst_conf_parse (const char *text, GString *problems);
 
 /**
- * rst_conf_load() - Reads a settings file as rst_conf_read() does.
+ * rst_conf_load() - Reads and validates a settings file.
  * @file: Path of the file.
+ * @fields: As in rst_conf_read().
+ * @count: As in rst_conf_read().
+ * @target: As in rst_conf_read().
+ * @problems: As in rst_conf_read().
  *
- * The other parameters and the result are those of rst_conf_read().
+ * Return: true if there was no problem.
  */
 bool rst_conf_load (const char *file, const struct rst_conf_field *fields,
                     int count, void *target, GString *problems);
 
 /**
- * rst_conf_is_address() - Tells whether text is "IP:PORT".
+ * rst_conf_is_address() - Checks for an address "IP:PORT".
  * @text: The text.
+ *
+ * Return: true if it is an IPv4 address in dotted notation, a colon and a port
+ * number.  Host names are not accepted.
  */
 bool rst_conf_is_address (const char *text);
 
 /**
- * rst_conf_is_name() - Tells whether text can name a thing.
+ * rst_conf_is_name() - Checks for a valid name.
  * @text: The text.
+ *
+ * Return: true if it has 1 to RST_NAME_SIZE - 1 letters, digits, '-', '_' and
+ * '.', and nothing else.
  */
 bool rst_conf_is_name (const char *text);
 
--- a/src/util/histogram.c
+++ b/src/util/histogram.c
@@ -1,6 +1,6 @@
 #include "util/histogram.h"
 
-/* From one exchange within a zone up to the longest objective. */
+/* The range covers one exchange within a zone up to the longest objective. */
 static const int64_t bounds_ms[RST_HISTOGRAM_BOUND_COUNT]
     = { 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000, 30000 };
 
--- a/src/util/log.c
+++ b/src/util/log.c
@@ -9,7 +9,7 @@
 
 #include "util/os.h"
 
-/** Largest number of named values in one line. */
+/** Maximum number of named values in one line. */
 #define LOG_FIELDS_MAX 24
 
 static struct
@@ -24,11 +24,12 @@
   gint64 dropped;
 } log_state = { "", false, G_LOG_LEVEL_INFO, STDERR_FILENO };
 
-/** Lines a second, and lines at once, that a process may write. */
+/** Rate and burst size of the token bucket that limits log lines. */
 #define LOG_LINES_PER_S 800
 #define LOG_LINES_BURST 2000
 
-/* Whether a line fits the budget; lines that don't are counted. */
+/* Refills the token bucket and takes one token.  Returns false if there is
+   none. */
 static bool
 take_token (gint64 now_us)
 {
@@ -46,7 +47,8 @@
   return true;
 }
 
-/* Writes a line without ever waiting for a reader. */
+/* Writes a line, or discards it if the rate limit is reached or the reader of
+   the descriptor is not keeping up: logging must never block the process. */
 static void
 output_line (const GString *line, gint64 now_us)
 {
--- a/src/util/log.h
+++ b/src/util/log.h
@@ -1,8 +1,10 @@
 /**
- * DOC: log - structured log lines through GLib
+ * DOC: log - structured logging through GLib
  *
- * Each part logs under its own fixed prefix.  Lines go to standard error
- * or output, plain or as one JSON object each.
+ * Each module logs under its own GLib log domain.  Lines go to standard error
+ * or standard output, as plain text or as one JSON object per line.  The rate
+ * of lines is limited, and a line is discarded rather than block the caller;
+ * the next line written is preceded by the number of discarded ones.
  */
 #ifndef RST_LOG_H
 #define RST_LOG_H
@@ -12,10 +14,10 @@
 #include <glib.h>
 
 /**
- * struct rst_log_config - How log lines are written.
- * @json: One JSON object a line in place of plain text.
- * @level: Least severe level written: "error", "warning", "info", "debug".
- * @to_stdout: Write to standard output in place of standard error.
+ * struct rst_log_config - Configuration of the log.
+ * @json: Write one JSON object per line instead of plain text.
+ * @level: Least severe level written: "error", "warning", "info" or "debug".
+ * @to_stdout: Write to standard output instead of standard error.
  */
 struct rst_log_config
 {
@@ -25,26 +27,28 @@
 };
 
 /**
- * rst_log_init() - Sets the log up; call it once, before threads start.
+ * rst_log_init() - Configures the log.
  * @process: Name of the process, copied.
- * @config: How lines are written.
+ * @config: The configuration.
+ *
+ * Must be called once, before any thread is started.
  */
 void rst_log_init (const char *process, const struct rst_log_config *config);
 
 /**
- * rst_log_enabled() - Tells whether lines of a level are written.
+ * rst_log_enabled() - Checks whether lines of a level are written.
  * @level: The level.
  */
 bool rst_log_enabled (GLogLevelFlags level);
 
 /**
- * rst_log_event() - Logs a short sentence with named values.
+ * rst_log_event() - Logs a message with named values; thread-safe.
  * @level: Severity.
- * @domain: Prefix of the part, a static string.
- * @message: The sentence.
+ * @domain: Log domain of the module, a static string.
+ * @message: A short sentence.
  *
- * Pairs of strings, name then value, follow; NULL ends them.  A NULL value
- * is left out.
+ * The message is followed by pairs of strings, name and value, and a
+ * terminating NULL.  A pair whose value is NULL is omitted.
  */
 void rst_log_event (GLogLevelFlags level, const char *domain,
                     const char *message, ...) G_GNUC_NULL_TERMINATED;
--- a/src/util/mailbox.c
+++ b/src/util/mailbox.c
@@ -10,8 +10,8 @@
 #include "util/os.h"
 
 #if defined(__SANITIZE_THREAD__)
-/* ThreadSanitizer does not see the ordering that the ring's inline assembly
-   gives; these calls state it. */
+/* ThreadSanitizer does not recognize the memory ordering of the ring's inline
+   assembly; these annotations declare it. */
 void __tsan_acquire (void *address);
 void __tsan_release (void *address);
 #else
--- a/src/util/os.c
+++ b/src/util/os.c
@@ -74,7 +74,8 @@
   get_stop_signals (&set);
   pthread_sigmask (SIG_BLOCK, &set, NULL);
   signal (SIGPIPE, SIG_IGN);
-  /* Tells of changed settings; what a running process uses of them stays. */
+  /* SIGHUP announces changed settings, but a running process keeps those it
+     started with. */
   signal (SIGHUP, SIG_IGN);
 }
 
--- a/src/util/program.h
+++ b/src/util/program.h
@@ -1,8 +1,8 @@
 /**
- * DOC: program - what all programs do at start
+ * DOC: program - command line and settings file of a program
  *
- * Reads --settings, --check-settings, --help and --version, loads the
- * settings and sets the log up.
+ * Handles --settings, --check-settings, --help and --version, and loads the
+ * settings file.
  */
 #ifndef RST_PROGRAM_H
 #define RST_PROGRAM_H
@@ -10,17 +10,17 @@
 #include "util/conf.h"
 #include "util/log.h"
 
-/** Exit status for bad arguments or settings. */
+/** Exit status for invalid arguments or settings. */
 #define RST_EXIT_USAGE 2
 
 /**
- * struct rst_program - Describes a program.
- * @name: Its name.
- * @summary: One line for --help.
- * @fields: Table of settings.
+ * struct rst_program - Description of a program.
+ * @name: Name of the executable.
+ * @summary: One-line summary for --help.
+ * @fields: Table of the settings.
  * @field_count: Number of settings.
- * @check: Checks what concerns several settings at once and adds a line for
- *   each problem; or NULL.
+ * @check: Validates constraints between settings, appends a line per problem
+ *   and returns true if there is none; or NULL.
  */
 struct rst_program
 {
@@ -32,13 +32,15 @@
 };
 
 /**
- * rst_program_configure() - Reads arguments and settings.
- * @program: The program.
- * @argc: From main().
- * @argv: From main().
- * @settings: Structure to fill, holding the defaults.
+ * rst_program_configure() - Parses the command line and loads the settings.
+ * @program: Description of the program.
+ * @argc: Argument count of main().
+ * @argv: Arguments of main().
+ * @settings: Structure to fill, initialized with the defaults.
  *
- * Return: -1 to go on, or the status to exit with.
+ * Problems are printed to standard error.
+ *
+ * Return: -1 if the program is to continue, or its exit status.
  */
 int rst_program_configure (const struct rst_program *program, int argc,
                            char **argv, void *settings);
