--- a/src/load/load.c
+++ b/src/load/load.c
@@ -92,7 +92,7 @@
 }
 
 /* Checks that a response is complete and carries the number and the salt of
-   this request; one that does not is counted as "crossed". */
+   this request; any other is reported as crossed. */
 static bool
 is_matching_answer (const struct request *request,
                     const struct rst_http_result *result)
