--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -23,8 +23,8 @@
 /**
  * struct cli_args - The arguments of a command.
  * @store: Address of the store.
- * @words: Words after the command's own.
- * @count: Their number.
+ * @operands: Words after the command's own.
+ * @operand_count: Their number.
  * @share: Value of --share, or -1.
  * @upper_limit: Value of --upper-limit, -1 when absent, -2 for "none".
  * @id: Value of --id, or NULL.
@@ -34,8 +34,8 @@
 struct cli_args
 {
   const char *store;
-  const char **words;
-  int count;
+  const char **operands;
+  int operand_count;
   int64_t share;
   int64_t upper_limit;
   const char *id;
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -95,10 +95,10 @@
       fprintf (stderr, PROGRAM ": no such command; see --help\n");
       return CLI_USAGE;
     }
-  args->words = words + words_used;
-  args->count = count - words_used;
-  if (args->count < command->min_operands
-      || args->count > command->max_operands)
+  args->operands = words + words_used;
+  args->operand_count = count - words_used;
+  if (args->operand_count < command->min_operands
+      || args->operand_count > command->max_operands)
     {
       fprintf (stderr, "Usage: " PROGRAM " %s %s %s\n", command->noun,
                command->verb, command->arguments);
--- a/src/cli/report.c
+++ b/src/cli/report.c
@@ -45,7 +45,8 @@
 }
 
 static int
-visit_all (const struct cli_args *args, status_visitor visit, void *data)
+visit_schedulers (const struct cli_args *args, status_visitor visit,
+                  void *data)
 {
   struct json_object *items;
   int result = cli_store_list (args, RST_KEY_ZONE_RECORDS, &items);
@@ -68,7 +69,7 @@
 }
 
 static void
-print_problems (struct json_object *status)
+print_rejected_branches (struct json_object *status)
 {
   struct json_object *branches = rst_json_get_array (status, "branches");
 
@@ -127,14 +128,14 @@
   if (!rst_json_get_bool (status, "tenure_held", false)
       && missing_from != NULL)
     printf ("  promise missing from %s\n", missing_from);
-  print_problems (status);
+  print_rejected_branches (status);
   print_entries (status);
 }
 
 int
 cli_status (const struct cli_args *args)
 {
-  return visit_all (args, print_status, NULL);
+  return visit_schedulers (args, print_status, NULL);
 }
 
 struct team_usage
@@ -175,7 +176,7 @@
 {
   GHashTable *usage_by_team
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  int result = visit_all (args, add_team_usage, usage_by_team);
+  int result = visit_schedulers (args, add_team_usage, usage_by_team);
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
@@ -234,8 +235,8 @@
 int
 cli_why (const struct cli_args *args)
 {
-  struct job_search job_search = { args->words[0], false };
-  int result = visit_all (args, print_job, &job_search);
+  struct job_search job_search = { args->operands[0], false };
+  int result = visit_schedulers (args, print_job, &job_search);
 
   if (result == CLI_OK && !job_search.found)
     {
--- a/src/cli/teams.c
+++ b/src/cli/teams.c
@@ -151,7 +151,7 @@
 int
 cli_team_set (const struct cli_args *args)
 {
-  struct team_edit edit = { args, args->words[0], NULL, NULL };
+  struct team_edit edit = { args, args->operands[0], NULL, NULL };
 
   if (!rst_conf_is_name (edit.name))
     {
@@ -164,7 +164,7 @@
 int
 cli_team_delete (const struct cli_args *args)
 {
-  struct team_edit edit = { args, args->words[0], NULL, NULL };
+  struct team_edit edit = { args, args->operands[0], NULL, NULL };
 
   return update_team (&edit, edit_delete);
 }
@@ -176,7 +176,7 @@
   char id[RST_NAME_SIZE];
   char text[3 * RST_NAME_SIZE];
   struct rst_team_key key;
-  struct team_edit edit = { args, args->words[0], id, &key };
+  struct team_edit edit = { args, args->operands[0], id, &key };
   int result;
 
   if (args->id != NULL)
@@ -196,7 +196,7 @@
 int
 cli_key_withdraw (const struct cli_args *args)
 {
-  struct team_edit edit = { args, args->words[0], args->words[1], NULL };
+  struct team_edit edit = { args, args->operands[0], args->operands[1], NULL };
 
   return update_team (&edit, edit_withdraw);
 }
@@ -204,13 +204,13 @@
 int
 cli_key_list (const struct cli_args *args)
 {
-  char *key = build_team_key (args->words[0]);
+  char *key = build_team_key (args->operands[0]);
   char *value = NULL;
   uint64_t revision;
   struct rst_team team;
   int result = cli_store_get (args, key, &value, &revision);
 
-  if (result == CLI_OK && parse_team (args->words[0], value, &team))
+  if (result == CLI_OK && parse_team (args->operands[0], value, &team))
     for (int i = 0; i < team.key_count; i++)
       printf ("%s\n", team.keys[i].id);
   g_free (value);
--- a/src/cli/zones.c
+++ b/src/cli/zones.c
@@ -38,7 +38,7 @@
 static int
 set_zone (const struct cli_args *args, const char *state, const char *running)
 {
-  struct zone_edit edit = { args->words[0], state, running };
+  struct zone_edit edit = { args->operands[0], state, running };
   uint64_t revision = 0;
   int result
       = cli_store_update (args, RST_KEY_ZONES, edit_zone, &edit, &revision);
@@ -107,7 +107,7 @@
 int
 cli_cell_set (const struct cli_args *args)
 {
-  struct cell_edit edit = { args->words[0], args->words[1] };
+  struct cell_edit edit = { args->operands[0], args->operands[1] };
   uint64_t revision = 0;
   int result
       = cli_store_update (args, RST_KEY_CELL, edit_cell, &edit, &revision);
@@ -122,7 +122,7 @@
 {
   char *value = NULL;
   uint64_t revision;
-  int result = cli_store_get (args, args->words[0], &value, &revision);
+  int result = cli_store_get (args, args->operands[0], &value, &revision);
 
   if (result == CLI_OK)
     printf ("%s\n", value);
@@ -163,7 +163,7 @@
 int
 cli_settings_check (const struct cli_args *args)
 {
-  char *text = read_file (args->words[1]);
+  char *text = read_file (args->operands[1]);
   GString *problems = g_string_new ("");
   char *current = NULL;
   uint64_t revision;
@@ -171,12 +171,12 @@
 
   if (text == NULL)
     goto done;
-  if (rst_settings_check (args->words[0], text, problems) != RST_STATE_OK)
+  if (rst_settings_check (args->operands[0], text, problems) != RST_STATE_OK)
     {
       fprintf (stderr, "%s", problems->str);
       goto done;
     }
-  result = cli_store_get (args, args->words[0], &current, &revision);
+  result = cli_store_get (args, args->operands[0], &current, &revision);
   if (result != CLI_OK)
     goto done;
   printf ("sound; present revision %" G_GUINT64_FORMAT "\n", revision);
@@ -203,14 +203,14 @@
 int
 cli_settings_put (const struct cli_args *args)
 {
-  char *text = read_file (args->words[1]);
+  char *text = read_file (args->operands[1]);
   uint64_t revision = 0;
   int result;
 
   if (text == NULL)
     return CLI_USAGE;
-  result
-      = cli_store_update (args, args->words[0], edit_replace, text, &revision);
+  result = cli_store_update (args, args->operands[0], edit_replace, text,
+                             &revision);
   if (result == CLI_OK)
     printf ("revision %" G_GUINT64_FORMAT "\n", revision);
   g_free (text);
--- a/src/coordination/sched_task.c
+++ b/src/coordination/sched_task.c
@@ -421,7 +421,7 @@
 
   if (instance->info.leaving)
     return true;
-  return zone != NULL && zone->out && zone->move_running;
+  return zone != NULL && zone->out_of_service && zone->move_running;
 }
 
 static void
--- a/src/protocol/platform.h
+++ b/src/protocol/platform.h
@@ -257,7 +257,7 @@
   void (*instance_list_fetch) (void *userdata, uint64_t after,
                                rst_platform_done done, void *data);
   void (*query_run) (void *userdata, const char *address,
-                     const struct rst_query_request *run,
+                     const struct rst_query_request *query,
                      rst_platform_done done, void *data);
   void (*instance_inspect) (void *userdata, const char *address,
                             uint64_t epoch, rst_platform_done done,
@@ -266,7 +266,7 @@
                       const struct rst_run_info *task, rst_ms lease_ms,
                       rst_ms not_after, rst_platform_done done, void *data);
   void (*task_renew) (void *userdata, const char *address, uint64_t epoch,
-                      rst_ms lease_ms, const char *const *seen,
+                      rst_ms lease_ms, const char *const *ended_ids,
                       rst_platform_done done, void *data);
   void (*task_stop) (void *userdata, const char *address, uint64_t epoch,
                      const char *id, bool checkpoint, rst_platform_done done,
--- a/src/protocol/platform_http.c
+++ b/src/protocol/platform_http.c
@@ -433,34 +433,34 @@
 
 static void
 query_run (void *userdata, const char *address,
-           const struct rst_query_request *run, rst_platform_done done,
+           const struct rst_query_request *query, rst_platform_done done,
            void *data)
 {
   struct rst_platform_http *platform = userdata;
   struct rst_http_call call = { 0 };
   char url[URL_SIZE_BYTES];
   char headers[5][2 * RST_NAME_SIZE + 32];
-  const char *list[HEADERS_MAX] = { 0 };
+  const char *header_list[HEADERS_MAX] = { 0 };
 
   g_snprintf (url, sizeof url, "http://%s/v1/run", address);
-  g_snprintf (headers[0], sizeof headers[0], "X-Request-Id: %s", run->id);
-  g_snprintf (headers[1], sizeof headers[1], "X-Team: %s", run->team);
+  g_snprintf (headers[0], sizeof headers[0], "X-Request-Id: %s", query->id);
+  g_snprintf (headers[1], sizeof headers[1], "X-Team: %s", query->team);
   g_snprintf (headers[2], sizeof headers[2], "X-Epoch: %" G_GUINT64_FORMAT,
-              run->epoch);
+              query->epoch);
   g_snprintf (headers[3], sizeof headers[3], "X-Idempotent: %s",
-              run->idempotent ? "true" : "false");
+              query->idempotent ? "true" : "false");
   g_snprintf (headers[4], sizeof headers[4],
-              "X-Deadline-Ms: %" G_GINT64_FORMAT, run->deadline_ms);
+              "X-Deadline-Ms: %" G_GINT64_FORMAT, query->deadline_ms);
   for (int i = 0; i < 5; i++)
-    list[i] = headers[i];
+    header_list[i] = headers[i];
   call.method = "POST";
   call.url = url;
-  call.headers = list;
-  call.body = run->body != NULL ? run->body : "";
-  call.length = run->length;
-  call.timeout_ms = run->deadline_ms;
-  call.not_after = run->not_after;
-  call.new_connection = !run->idempotent;
+  call.headers = header_list;
+  call.body = query->body != NULL ? query->body : "";
+  call.length = query->length;
+  call.timeout_ms = query->deadline_ms;
+  call.not_after = query->not_after;
+  call.new_connection = !query->idempotent;
   send_call (platform->instance_client, &call,
              request_create (platform, BODY_RAW, false, done, data));
 }
@@ -531,15 +531,15 @@
 
 static void
 task_renew (void *userdata, const char *address, uint64_t epoch,
-            rst_ms lease_ms, const char *const *seen, rst_platform_done done,
-            void *data)
+            rst_ms lease_ms, const char *const *ended_ids,
+            rst_platform_done done, void *data)
 {
   struct rst_platform_http *platform = userdata;
   struct json_object *body = create_command_body (epoch);
   struct json_object *list = json_object_new_array ();
 
-  for (int i = 0; seen[i] != NULL; i++)
-    json_object_array_add (list, json_object_new_string (seen[i]));
+  for (int i = 0; ended_ids[i] != NULL; i++)
+    json_object_array_add (list, json_object_new_string (ended_ids[i]));
   rst_json_set_number (body, "lease_ms", lease_ms);
   json_object_object_add (body, "seen", list);
   send_instance_call (platform, address, "/v1/renew", body, 0,
--- a/src/state/job.c
+++ b/src/state/job.c
@@ -23,7 +23,7 @@
 static const char *const policy_names[] = { "batch", "service", "gang", NULL };
 static const char *const urgency_names[] = { "normal", "urgent", NULL };
 
-#define SPEC_INT(name, required, member, min, max)                            \
+#define SPEC_INTEGER(name, required, member, min, max)                        \
   {                                                                           \
     name, RST_CONF_INTEGER, required,                                         \
         offsetof (struct spec_fields, spec.member), 0, min, max, NULL         \
@@ -35,11 +35,11 @@
     0, 0, policy_names },
   { "urgency", RST_CONF_CHOICE, false, offsetof (struct spec_fields, urgency),
     16, 0, 0, urgency_names },
-  SPEC_INT ("tasks", true, tasks, 1, RST_JOB_TASKS_MAX),
-  SPEC_INT ("cpu_milli", true, cpu, 1, CPU_MAX_MILLI),
-  SPEC_INT ("memory_mb", true, memory_mb, 1, MEMORY_MAX_MB),
-  SPEC_INT ("accelerators", false, accelerators, 0, ACCELERATORS_MAX),
-  SPEC_INT ("run_ms", false, run_ms, 0, RUN_MAX_MS),
+  SPEC_INTEGER ("tasks", true, tasks, 1, RST_JOB_TASKS_MAX),
+  SPEC_INTEGER ("cpu_milli", true, cpu, 1, CPU_MAX_MILLI),
+  SPEC_INTEGER ("memory_mb", true, memory_mb, 1, MEMORY_MAX_MB),
+  SPEC_INTEGER ("accelerators", false, accelerators, 0, ACCELERATORS_MAX),
+  SPEC_INTEGER ("run_ms", false, run_ms, 0, RUN_MAX_MS),
   { "run_once", RST_CONF_BOOL, false,
     offsetof (struct spec_fields, spec.run_once), 0, 0, 0, NULL },
 };
@@ -56,7 +56,7 @@
 static bool
 check_spec (const struct spec_fields *fields, GString *problems)
 {
-  bool service = strcmp (fields->policy, "service") == 0;
+  bool is_service = strcmp (fields->policy, "service") == 0;
   bool valid = true;
 
   if (strlen (fields->id) > RST_JOB_ID_MAX_BYTES)
@@ -65,12 +65,12 @@
                               RST_JOB_ID_MAX_BYTES);
       valid = false;
     }
-  if (!service && fields->spec.run_ms == 0)
+  if (!is_service && fields->spec.run_ms == 0)
     {
       g_string_append (problems, "run_ms: is missing\n");
       valid = false;
     }
-  if (service && (fields->spec.run_ms != 0 || fields->spec.run_once))
+  if (is_service && (fields->spec.run_ms != 0 || fields->spec.run_once))
     {
       g_string_append (problems,
                        "run_ms: a service has no run time and runs on\n");
--- a/src/state/settings.c
+++ b/src/state/settings.c
@@ -42,7 +42,7 @@
 {
   GHashTable *branches;
   struct rst_cell_settings default_cell;
-  uint64_t newest;
+  uint64_t newest_revision;
 };
 
 static const struct rst_cell_settings cell_defaults
@@ -219,7 +219,7 @@
   append_problems (problems, prefix, item_problems->str);
   g_string_free (item_problems, TRUE);
   g_strlcpy (out->name, name, RST_NAME_SIZE);
-  out->out = strcmp (fields.state, "out") == 0;
+  out->out_of_service = strcmp (fields.state, "out") == 0;
   out->move_running = strcmp (fields.running, "move") == 0;
   return valid;
 }
@@ -421,7 +421,7 @@
       return RST_STATE_INVALID;
     }
   apply_parsed (find_or_add_branch (settings, key), &parsed, revision, value);
-  settings->newest = MAX (settings->newest, revision);
+  settings->newest_revision = MAX (settings->newest_revision, revision);
   return RST_STATE_OK;
 }
 
@@ -467,7 +467,7 @@
   const struct rst_zone_setting *setting
       = rst_settings_find_zone (settings, zone);
 
-  return setting != NULL && setting->out;
+  return setting != NULL && setting->out_of_service;
 }
 
 const struct rst_cell_settings *
@@ -562,7 +562,7 @@
 uint64_t
 rst_settings_get_newest_revision (const struct rst_settings *settings)
 {
-  return settings->newest;
+  return settings->newest_revision;
 }
 
 uint64_t
--- a/src/state/settings.h
+++ b/src/state/settings.h
@@ -74,13 +74,13 @@
 /**
  * struct rst_zone_setting - What operators say of an availability zone.
  * @name: The zone.
- * @out: Nothing may be started there.
+ * @out_of_service: Nothing may be started there.
  * @move_running: Running work is checkpointed and moved, too.
  */
 struct rst_zone_setting
 {
   char name[RST_NAME_SIZE];
-  bool out;
+  bool out_of_service;
   bool move_running;
 };
 
--- a/test/unit/state_test.cc
+++ b/test/unit/state_test.cc
@@ -57,7 +57,7 @@
 
 TEST_F (Settings, AnUnsoundBranchIsRefusedAsAWhole)
 {
-  uint64_t refused = 0;
+  uint64_t rejected = 0;
 
   ASSERT_EQ (apply ("settings/teams/t", 5, "{\"share\":2}"), RST_STATE_OK);
   EXPECT_EQ (apply ("settings/teams/t", 6,
@@ -66,12 +66,14 @@
   EXPECT_STREQ (problems->str, "colour: unknown field\n"
                                "upper_limit: must be a whole number\n");
   EXPECT_EQ (rst_settings_find_team (settings, "t")->share, 2u);
-  EXPECT_NE (rst_settings_get_problem (settings, "settings/teams/t", &refused),
-             nullptr);
-  EXPECT_EQ (refused, 6u);
+  EXPECT_NE (
+      rst_settings_get_problem (settings, "settings/teams/t", &rejected),
+      nullptr);
+  EXPECT_EQ (rejected, 6u);
   EXPECT_EQ (apply ("settings/teams/t", 7, "{\"share\":4}"), RST_STATE_OK);
-  EXPECT_EQ (rst_settings_get_problem (settings, "settings/teams/t", &refused),
-             nullptr);
+  EXPECT_EQ (
+      rst_settings_get_problem (settings, "settings/teams/t", &rejected),
+      nullptr);
 }
 
 TEST_F (Settings, NameTheFieldThatIsWrong)
