--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -1,8 +1,8 @@
 /**
- * DOC: cli - the operators' command line
+ * DOC: cli - commands of the operators' command line tool
  *
- * Each command reads its arguments from a struct cli_args and returns an exit
- * status: 0 for success, 1 when it could not be done, 2 for bad arguments.
+ * Each command reads its arguments from a struct cli_args, prints its result
+ * on standard output and errors on standard error, and returns an exit status.
  */
 #ifndef RST_CLI_H
 #define RST_CLI_H
@@ -15,21 +15,21 @@
 
 #include "rosemarystile.h"
 
-/** Exit statuses. */
+/** Exit statuses: success, failure of the command, invalid arguments. */
 #define CLI_OK 0
 #define CLI_FAILED 1
 #define CLI_USAGE 2
 
 /**
- * struct cli_args - The arguments of a command.
- * @store: Address of the store.
- * @operands: Words after the command's own.
- * @operand_count: Their number.
- * @share: Value of --share, or -1.
- * @upper_limit: Value of --upper-limit, -1 when absent, -2 for "none".
+ * struct cli_args - Arguments of a command.
+ * @store: "IP:PORT" of the store.
+ * @operands: Words that follow the words of the command itself.
+ * @operand_count: Number of operands.
+ * @share: Value of --share, or -1 when it is absent.
+ * @upper_limit: Value of --upper-limit, -1 when it is absent, -2 for "none".
  * @id: Value of --id, or NULL.
  * @running: Value of --running, or NULL.
- * @timeout_ms: Bound on each call.
+ * @timeout_ms: Timeout of each HTTP request.
  */
 struct cli_args
 {
@@ -44,14 +44,14 @@
 };
 
 /**
- * struct cli_command - One command.
+ * struct cli_command - A command.
  * @noun: First word.
  * @verb: Second word, or "" when there is none.
- * @arguments: Shown by --help.
- * @min_operands: Least number of further words.
- * @max_operands: Largest number of further words.
- * @help: One line for --help.
- * @run: Does it.
+ * @arguments: Operands and options, as --help shows them.
+ * @min_operands: Least number of operands.
+ * @max_operands: Largest number of operands.
+ * @help: One-line description for --help.
+ * @run: Runs the command and returns an exit status.
  */
 struct cli_command
 {
@@ -64,58 +64,65 @@
   int (*run) (const struct cli_args *args);
 };
 
-/** cli_commands() - All commands; the last one has a NULL noun. */
+/**
+ * cli_commands() - Returns all commands.
+ *
+ * Return: A static array; the noun of the element after the last is NULL.
+ */
 const struct cli_command *cli_commands (void);
 
 /**
- * cli_store_get() - Reads a key.
- * @args: Names the store.
+ * cli_store_get() - Reads a key of the store.
+ * @args: Address of the store and timeout.
  * @key: The key.
- * @value: Receives its value, to be freed with g_free(); "" when absent.
- * @revision: Receives its revision; 0 when absent.
+ * @value: Receives the value, to be freed with g_free(); "" when the key does
+ *   not exist.
+ * @revision: Receives the revision; 0 when the key does not exist.
  *
- * Return: An exit status; a failure has been printed.
+ * Return: An exit status; an error has been printed.
  */
 int cli_store_get (const struct cli_args *args, const char *key, char **value,
                    uint64_t *revision);
 
 /**
- * cli_store_list() - Reads all keys with a prefix.
- * @args: Names the store.
+ * cli_store_list() - Reads all keys of the store with a prefix.
+ * @args: Address of the store and timeout.
  * @prefix: The prefix.
- * @items: Receives a list of objects with key, value and revision, to be
- *   released with json_object_put().
+ * @items: Receives an array of objects with the members key, value and
+ *   revision, to be released with json_object_put().
  *
- * Return: An exit status; a failure has been printed.
+ * Return: An exit status; an error has been printed.
  */
 int cli_store_list (const struct cli_args *args, const char *prefix,
                     struct json_object **items);
 
 /**
- * typedef cli_edit - Makes a new value of a present one.
- * @value: The present value, "" when absent.
- * @data: From cli_store_update().
+ * typedef cli_edit - Derives the new value of a settings branch.
+ * @value: Current value; "" when the branch does not exist.
+ * @data: The data passed to cli_store_update().
  *
- * Return: The new value, to be freed with free(), or NULL after a message.
+ * Return: The new value, to be freed with free(), or NULL when an error has
+ * been printed.
  */
 typedef char *(*cli_edit) (const char *value, void *data);
 
 /**
- * cli_store_update() - Changes a branch of the settings by compare-and-swap.
- * @args: Names the store.
- * @key: The branch's key.
- * @edit: Makes the new value; called again when another operator was first.
+ * cli_store_update() - Changes a settings branch by compare-and-swap.
+ * @args: Address of the store and timeout.
+ * @key: Store key of the branch.
+ * @edit: Derives the new value; called again after another operator has
+ *   changed the branch in the meantime.
  * @data: Passed to @edit.
  * @revision: Receives the revision of the new value.
  *
  * The new value is checked before it is written.
  *
- * Return: An exit status; a failure has been printed.
+ * Return: An exit status; an error has been printed.
  */
 int cli_store_update (const struct cli_args *args, const char *key,
                       cli_edit edit, void *data, uint64_t *revision);
 
-/* Commands, by file. */
+/* Handlers of the commands; the name of each is its command's words. */
 int cli_team_set (const struct cli_args *args);
 int cli_team_list (const struct cli_args *args);
 int cli_team_delete (const struct cli_args *args);
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -11,13 +11,13 @@
 
 #define PROGRAM "rosemarystile-ctl"
 
-/** Default bound on each call. */
+/** Default timeout of each HTTP request. */
 #define DEFAULT_TIMEOUT_MS 5000
 
-/** Environment variable that names the store. */
+/** Environment variable with the address of the store. */
 #define STORE_VARIABLE "ROSEMARYSTILE_STORE"
 
-/** Most words of a command. */
+/** Largest number of words of a command with its operands. */
 #define COMMAND_WORDS_MAX 8
 
 static void
@@ -120,14 +120,14 @@
   struct arg_str *store
       = arg_str0 (NULL, "store", "IP:PORT", "address of the store");
   struct arg_int *timeout
-      = arg_int0 (NULL, "timeout-ms", "N", "bound on each call");
+      = arg_int0 (NULL, "timeout-ms", "N", "timeout of each request");
   struct arg_int *share
       = arg_int0 (NULL, "share", "N", "weight when the fleet is full");
   struct arg_str *limit = arg_str0 (NULL, "upper-limit", "N|none",
-                                    "how much a team may have running");
+                                    "how many runs a team may have at a time");
   struct arg_str *id = arg_str0 (NULL, "id", "ID", "name of a key");
   struct arg_str *running = arg_str0 (NULL, "running", "finish|move",
-                                      "what becomes of running work");
+                                      "what happens to running tasks");
   struct arg_str *words
       = arg_strn (NULL, NULL, "COMMAND", 0, COMMAND_WORDS_MAX, "see above");
   struct arg_end *end = arg_end (4);
--- a/src/cli/report.c
+++ b/src/cli/report.c
@@ -8,7 +8,8 @@
 #include "transport/http_sync.h"
 #include "transport/transport.h"
 
-/* Receives the status page of one scheduler, or NULL when it is silent. */
+/* Called with the status page of a scheduler, or NULL when it does not
+   answer. */
 typedef void (*status_visitor) (const struct rst_member *member,
                                 struct json_object *status, void *data);
 
@@ -80,7 +81,7 @@
       const char *problem = rst_json_get_text (branch, "problem");
 
       if (problem != NULL)
-        printf ("  refused %s revision %" G_GINT64_FORMAT ": %s\n",
+        printf ("  rejected %s revision %" G_GINT64_FORMAT ": %s\n",
                 rst_json_get_text (branch, "key"),
                 rst_json_get_number (branch, "refused_revision", 0), problem);
     }
@@ -216,19 +217,20 @@
       if (g_strcmp0 (rst_json_get_text (job, "name"), job_search->name) != 0)
         continue;
       job_search->found = true;
-      printf ("job %s, followed by %s, is %s\n", job_search->name,
+      printf ("job %s, owned by %s, is %s\n", job_search->name,
               member->incarnation, rst_json_get_text (job, "state"));
-      printf ("  tasks %" G_GINT64_FORMAT ": running %" G_GINT64_FORMAT
-              ", waiting %" G_GINT64_FORMAT ", asked for %" G_GINT64_FORMAT
-              ", held %" G_GINT64_FORMAT ", looked for %" G_GINT64_FORMAT "\n",
-              rst_json_get_number (job, "tasks", 0),
-              rst_json_get_number (job, "running", 0),
-              rst_json_get_number (job, "waiting", 0),
-              rst_json_get_number (job, "asked", 0),
-              rst_json_get_number (job, "held", 0),
-              rst_json_get_number (job, "looked_for", 0));
+      printf (
+          "  tasks %" G_GINT64_FORMAT ": running %" G_GINT64_FORMAT
+          ", waiting %" G_GINT64_FORMAT ", start requested %" G_GINT64_FORMAT
+          ", reserved %" G_GINT64_FORMAT ", in doubt %" G_GINT64_FORMAT "\n",
+          rst_json_get_number (job, "tasks", 0),
+          rst_json_get_number (job, "running", 0),
+          rst_json_get_number (job, "waiting", 0),
+          rst_json_get_number (job, "asked", 0),
+          rst_json_get_number (job, "held", 0),
+          rst_json_get_number (job, "looked_for", 0));
       if (rst_json_get_text (job, "waiting_for")[0] != '\0')
-        printf ("  waits for: %s\n", rst_json_get_text (job, "waiting_for"));
+        printf ("  waiting for: %s\n", rst_json_get_text (job, "waiting_for"));
     }
 }
 
--- a/src/cli/store.c
+++ b/src/cli/store.c
@@ -8,7 +8,7 @@
 #include "transport/http_sync.h"
 #include "transport/transport.h"
 
-/** Most tries when other operators change the same branch. */
+/** Largest number of attempts when other operators change the same branch. */
 #define UPDATE_ATTEMPTS_MAX 20
 
 static int
@@ -29,7 +29,7 @@
   if (error != RST_TRANSPORT_OK)
     fprintf (stderr, "store: %s\n", rst_transport_strerror (error));
   else
-    fprintf (stderr, "store: answered with status %d\n", status);
+    fprintf (stderr, "store: replied with HTTP status %d\n", status);
   return CLI_FAILED;
 }
 
@@ -126,8 +126,10 @@
   return valid;
 }
 
-/* One try.  Sets *again when another operator was first, or when the answer
-   was lost and the value must be read again. */
+/* Makes one attempt.  Sets *retry when another operator has changed the branch
+   in the meantime, or when no reply was received and the branch must be read
+   to see whether the write was made.  *last_written is the value of the last
+   write; when the branch has it, that write was made. */
 static int
 try_update (const struct cli_args *args, const char *key, cli_edit edit,
             void *data, char **last_written, uint64_t *revision, bool *retry)
@@ -179,7 +181,9 @@
   g_free (last_written);
   if (retry)
     {
-      fprintf (stderr, "%s: others keep changing it; try again\n", key);
+      fprintf (stderr,
+               "%s: other operators keep changing this branch; try again\n",
+               key);
       return CLI_FAILED;
     }
   return result;
--- a/src/cli/teams.c
+++ b/src/cli/teams.c
@@ -9,12 +9,13 @@
 #include "state/settings.h"
 #include "util/conf.h"
 
-/** Length of a key's secret in bytes. */
+/** Length of a key's secret. */
 #define SECRET_BYTES 32
 
-/** Share of a new team. */
+/** Share of a new team when --share is absent. */
 #define DEFAULT_SHARE 1
 
+/* A change of a team.  The members about a key are set where it names one. */
 struct team_edit
 {
   const struct cli_args *args;
--- a/src/cli/zones.c
+++ b/src/cli/zones.c
@@ -179,7 +179,7 @@
   result = cli_store_get (args, args->operands[0], &current, &revision);
   if (result != CLI_OK)
     goto done;
-  printf ("sound; present revision %" G_GUINT64_FORMAT "\n", revision);
+  printf ("valid; current revision %" G_GUINT64_FORMAT "\n", revision);
   if (strcmp (current, text) != 0)
     {
       print_lines ('-', current);
--- a/src/protocol/message.c
+++ b/src/protocol/message.c
@@ -5,9 +5,10 @@
 #include <glib.h>
 #include <msgpack.h>
 
-/** Elements before a message's own fields: version, type and number. */
+/** Array elements before the fields: version, type and request number. */
 #define HEADER_ELEMENTS 3
 
+/* How a field is encoded; text and blobs are owned by the message. */
 enum field_type
 {
   FIELD_UINT,
@@ -16,6 +17,7 @@
   FIELD_BLOB,
 };
 
+/* A field of a message and its offset in the message's structure. */
 struct field
 {
   const char *name;
@@ -23,6 +25,7 @@
   size_t offset;
 };
 
+/* The fields of a message type in the order of the frame. */
 struct layout
 {
   const char *name;
@@ -176,7 +179,7 @@
   [RST_REQUEST_RECORD] = LAYOUT ("record", record_fields),
 };
 
-/* All members of the union start at the same place. */
+/* All members of the union have the same address. */
 #define PAYLOAD(message) ((char *)&(message)->hello)
 
 const char *
@@ -191,11 +194,11 @@
     case RST_PROTOCOL_VERSION:
       return "unsupported protocol version";
     case RST_PROTOCOL_TYPE:
-      return "unknown type of message";
+      return "unknown message type";
     case RST_PROTOCOL_FIELD:
-      return "wrong field";
+      return "invalid field";
     case RST_PROTOCOL_TRANSPORT:
-      return "transport failed";
+      return "transport error";
     default:
       return "unknown protocol error";
     }
--- a/src/protocol/message.h
+++ b/src/protocol/message.h
@@ -1,9 +1,10 @@
 /**
- * DOC: message - typed messages between the system's own processes
+ * DOC: message - messages between entry daemons and schedulers
  *
- * A message travels as one frame: a msgpack array of version, type, request
- * number and the fields of that type in order.  Decoding checks each field
- * and names the first that is wrong.
+ * A message is sent as one frame: a msgpack array that holds the protocol
+ * version, the message type, the request number and then the fields of that
+ * type in the order of its structure.  Decoding checks the type of each field
+ * and reports the first field that is invalid.
  */
 #ifndef RST_MESSAGE_H
 #define RST_MESSAGE_H
@@ -14,19 +15,20 @@
 
 #include "rosemarystile.h"
 
-/** Version of the protocol; a frame of another version is refused. */
+/** Protocol version; frames of any other version are rejected. */
 #define RST_MESSAGE_VERSION 1
 
-/** Bound on an encoded message in bytes. */
+/** Largest size of an encoded message. */
 #define RST_MESSAGE_MAX_BYTES (2 * 1024 * 1024)
 
 /**
  * enum rst_protocol_error - Errors of the protocol layer.
  * @RST_PROTOCOL_OK: Success.
- * @RST_PROTOCOL_MALFORMED: Not a msgpack array of the right form.
- * @RST_PROTOCOL_VERSION: Another version of the protocol.
- * @RST_PROTOCOL_TYPE: Unknown type of message.
- * @RST_PROTOCOL_FIELD: A field has the wrong type or size.
+ * @RST_PROTOCOL_MALFORMED: The frame is not a msgpack array with the elements
+ *   that its message type requires, or it is too large.
+ * @RST_PROTOCOL_VERSION: The protocol version is not supported.
+ * @RST_PROTOCOL_TYPE: The message type is unknown.
+ * @RST_PROTOCOL_FIELD: A field has the wrong type.
  * @RST_PROTOCOL_TRANSPORT: The transport layer failed.
  */
 enum rst_protocol_error
@@ -39,31 +41,42 @@
   RST_PROTOCOL_TRANSPORT,
 };
 
-/** rst_protocol_strerror() - Describes an error of this layer. */
+/**
+ * rst_protocol_strerror() - Describes an error.
+ * @error: A value of enum rst_protocol_error.
+ *
+ * Return: A static string.
+ */
 const char *rst_protocol_strerror (int error);
 
 /**
- * enum rst_message_type - Types of messages.
- * @RST_HELLO: First on each connection: who speaks.
- * @RST_PROMISE_REQUEST: Asks a member of the zone not to take over.
- * @RST_PROMISE: The answer to it.
- * @RST_SETTINGS_DIGEST: What settings the sender has in force.
- * @RST_SETTINGS_BRANCH: One branch of the settings or one ownership record.
+ * enum rst_message_type - Message types.
+ * @RST_HELLO: Identifies the sender; the first message on each connection.
+ * @RST_PROMISE_REQUEST: Asks a scheduler of the same zone to promise not to
+ *   end the sender's tenure.
+ * @RST_PROMISE: Reply to %RST_PROMISE_REQUEST.
+ * @RST_SETTINGS_DIGEST: Summary of the settings that the sender holds.
+ * @RST_SETTINGS_BRANCH: One settings branch or one ownership record.
  * @RST_LOAD: Free capacity of a scheduler.
- * @RST_QUERY: One query to be run on a runner.
- * @RST_ANSWER: How a query ended.
- * @RST_JOB_CALL: A caller's call about jobs.
- * @RST_JOB_REPLY: The answer to it.
- * @RST_TASK_START: Asks the owner of workers to start a task.
- * @RST_TASK_STARTED: Whether it was started.
- * @RST_TASK_END: A task has ended.
- * @RST_TASK_END_ACK: Confirms that the end was recorded.
- * @RST_TASK_STOP: Asks to stop a task.
- * @RST_ADOPTED: What a new owner found running on a yielded instance.
- * @RST_TASK_FIND: Asks whether a task is known.
- * @RST_TASK_FOUND: The answer to it.
- * @RST_REQUEST_RECORD_QUERY: Asks whether a request id is known.
- * @RST_REQUEST_RECORD: The answer to it.
+ * @RST_QUERY: A query to run on a runner.
+ * @RST_ANSWER: Reply to %RST_QUERY.
+ * @RST_JOB_CALL: A caller's operation on jobs.
+ * @RST_JOB_REPLY: Reply to %RST_JOB_CALL.
+ * @RST_TASK_START: Asks a scheduler to start a task on a worker that it owns.
+ * @RST_TASK_STARTED: Reply to %RST_TASK_START; also sent when the start
+ *   failed.
+ * @RST_TASK_END: Reports the end of a task to the owner of its job.
+ * @RST_TASK_END_ACK: Confirms that the end is stored.
+ * @RST_TASK_STOP: Asks a scheduler to stop a task.
+ * @RST_ADOPTED: Tells the schedulers of the zone which runs the new owner of
+ * an instance found there.
+ * @RST_TASK_FIND: Asks a scheduler which tasks of a job its workers run.
+ * @RST_TASK_FOUND: Reply to %RST_TASK_FIND: one message a task, then one that
+ *   names no task and tells whether the list is complete.
+ * @RST_REQUEST_RECORD_QUERY: Asks a scheduler whether it has a record of a
+ *   request id.
+ * @RST_REQUEST_RECORD: Reply to %RST_REQUEST_RECORD_QUERY.
+ * @RST_MESSAGE_TYPES: Number of types, counting the unused value 0.
  */
 enum rst_message_type
 {
@@ -92,9 +105,9 @@
 
 /**
  * enum rst_request_outcome - How a request ended.
- * @RST_REQUEST_ANSWERED: A whole answer came.
- * @RST_REQUEST_NOT_RUN: It provably did not run.
- * @RST_REQUEST_OUTCOME_UNKNOWN: It may have run.
+ * @RST_REQUEST_ANSWERED: A complete answer was received.
+ * @RST_REQUEST_NOT_RUN: The request certainly did not run.
+ * @RST_REQUEST_OUTCOME_UNKNOWN: The request may have run.
  */
 enum rst_request_outcome
 {
@@ -103,11 +116,16 @@
   RST_REQUEST_OUTCOME_UNKNOWN,
 };
 
-/** rst_request_outcome_name() - "answered", "not-run" or "unknown". */
+/**
+ * rst_request_outcome_name() - Names an outcome for callers and logs.
+ * @outcome: A value of enum rst_request_outcome.
+ *
+ * Return: "answered", "not-run" or "unknown"; "unknown" for any other value.
+ */
 const char *rst_request_outcome_name (uint64_t outcome);
 
 /**
- * enum rst_process_role - Kinds of processes.
+ * enum rst_process_role - Role of a process.
  * @RST_ROLE_ENTRY: An entry daemon.
  * @RST_ROLE_SCHEDULER: A scheduler daemon.
  */
@@ -118,9 +136,9 @@
 };
 
 /**
- * struct rst_blob - Bytes with a length.
- * @data: The bytes, with a NUL behind them; owned by the message.
- * @length: Their number.
+ * struct rst_blob - A byte string.
+ * @data: The bytes, followed by a NUL; owned by the enclosing message.
+ * @length: Number of bytes without the NUL.
  */
 struct rst_blob
 {
@@ -129,13 +147,13 @@
 };
 
 /**
- * struct rst_hello - Who speaks on a connection.
+ * struct rst_hello - Identity of the sender.
  * @role: A value of enum rst_process_role.
- * @name: Name of the process.
- * @zone: Its availability zone.
- * @incarnation: Its incarnation.
- * @address: Address where others reach it.
- * @status_address: Address of its HTTP status pages.
+ * @name: Name of the process, the same after a restart.
+ * @zone: Availability zone of the process.
+ * @incarnation: Incarnation of the process.
+ * @address: "IP:PORT" at which the process accepts message connections.
+ * @status_address: "IP:PORT" of its HTTP status pages.
  */
 struct rst_hello
 {
@@ -148,10 +166,11 @@
 };
 
 /**
- * struct rst_promise - A promise not to take over, or a request for one.
- * @incarnation: Whom it protects.
- * @number: Number of the request; the answer repeats it.
- * @duration_ms: How long it holds; 0 when refused.
+ * struct rst_promise - A promise not to end a tenure, or a request for one.
+ * @incarnation: Incarnation of the sender.
+ * @number: Number of the request, repeated in the reply.
+ * @duration_ms: How long the promise holds, from the time at which it was
+ *   requested; 0 when it is not given.
  */
 struct rst_promise
 {
@@ -161,9 +180,9 @@
 };
 
 /**
- * struct rst_settings_digest - What branches a process holds.
- * @hash: Hash over all keys with their revisions.
- * @newest: Highest revision held.
+ * struct rst_settings_digest - Summary of the settings branches held.
+ * @hash: Hash over the keys and revisions of all branches.
+ * @newest: Highest revision of a branch.
  */
 struct rst_settings_digest
 {
@@ -172,10 +191,11 @@
 };
 
 /**
- * struct rst_settings_branch - One branch with its revision.
+ * struct rst_settings_branch - A revision of a settings branch or an ownership
+ * record.
  * @key: Store key.
  * @revision: Store revision.
- * @value: JSON text; empty when deleted.
+ * @value: JSON text; empty when the key was deleted.
  */
 struct rst_settings_branch
 {
@@ -186,16 +206,17 @@
 
 /**
  * struct rst_load - Free capacity of a scheduler.
- * @incarnation: Which scheduler.
- * @zone: Its availability zone.
- * @slots_free: Free slots on its runners.
- * @slots_total: All slots on its runners.
- * @queued: Queries waiting.
- * @cpu_free: Free processor time on its workers in thousandths of a core.
- * @memory_free_mb: Free memory on its workers.
- * @accelerators_free: Free accelerators on its workers.
- * @largest_cpu_free: Largest free processor time on one worker.
- * @ready: Whether it takes work.
+ * @incarnation: Incarnation of the scheduler.
+ * @zone: Availability zone of the scheduler.
+ * @slots_free: Free slots on its usable runners.
+ * @slots_total: All slots on its usable runners.
+ * @queued: Number of queued queries.
+ * @cpu_free: Free CPU on its usable workers, in thousandths of a core.
+ * @memory_free_mb: Free memory on its usable workers, in megabytes.
+ * @accelerators_free: Free accelerators on its usable workers.
+ * @largest_cpu_free: Largest free CPU on a single worker, in thousandths of a
+ *   core.
+ * @ready: Whether the scheduler accepts queries and tasks.
  */
 struct rst_load
 {
@@ -212,15 +233,15 @@
 };
 
 /**
- * struct rst_query - One query.
- * @team: The team whose key came with it.
- * @request_id: The caller's request id, or one made by the entry.
- * @keyed: Whether the id came from the caller.
- * @idempotent: Whether it may run more than once.
- * @urgent: Whether it is urgent.
- * @deadline_ms: Time left.
- * @hops: How many schedulers have passed it on.
- * @body: The caller's body.
+ * struct rst_query - A query.
+ * @team: The team that the caller's key belongs to.
+ * @request_id: The caller's request id, or one generated by the entry daemon.
+ * @keyed: Whether the caller supplied the request id.
+ * @idempotent: Whether the query may run more than once.
+ * @urgent: Whether the query is urgent.
+ * @deadline_ms: Time left until the deadline.
+ * @hops: Number of schedulers that have forwarded the query.
+ * @body: Body of the caller's request.
  */
 struct rst_query
 {
@@ -238,10 +259,10 @@
  * struct rst_answer - How a query ended.
  * @outcome: A value of enum rst_request_outcome.
  * @status: HTTP status for the caller.
- * @reason: A word naming the reason of a refusal.
- * @detail: A sentence about it.
- * @instance: Instance that ran it, or "".
- * @epoch: Epoch under which it was sent.
+ * @reason: Short name of the reason when the query was not answered.
+ * @detail: Text that explains @reason.
+ * @instance: Name of the instance that ran the query, or "".
+ * @epoch: Ownership epoch under which the query was sent to the instance.
  * @body: The runner's answer.
  */
 struct rst_answer
@@ -256,11 +277,11 @@
 };
 
 /**
- * enum rst_job_operation - Calls about jobs.
- * @RST_JOB_SUBMIT: Accept a job.
- * @RST_JOB_GET: Show a job.
- * @RST_JOB_CANCEL: Cancel a job.
- * @RST_JOB_LIST: List a team's jobs.
+ * enum rst_job_operation - Operations on jobs.
+ * @RST_JOB_SUBMIT: Submits a job.
+ * @RST_JOB_GET: Returns the state of a job.
+ * @RST_JOB_CANCEL: Cancels a job.
+ * @RST_JOB_LIST: Lists a team's jobs.
  */
 enum rst_job_operation
 {
@@ -271,13 +292,13 @@
 };
 
 /**
- * struct rst_job_call - A caller's call about jobs.
+ * struct rst_job_call - A caller's operation on jobs.
  * @operation: A value of enum rst_job_operation.
  * @team: The caller's team.
  * @job: Id of the job, or "".
- * @state: State to list, or "".
- * @hops: How many schedulers have passed it on.
- * @body: The caller's body.
+ * @state: For %RST_JOB_LIST, the state of the jobs to list; "" for all.
+ * @hops: Number of schedulers that have forwarded the call.
+ * @body: Body of the caller's request.
  */
 struct rst_job_call
 {
@@ -290,9 +311,9 @@
 };
 
 /**
- * struct rst_job_reply - The answer to a call about jobs.
- * @status: HTTP status.
- * @body: JSON for the caller.
+ * struct rst_job_reply - Result of an operation on jobs.
+ * @status: HTTP status for the caller.
+ * @body: JSON text for the caller.
  */
 struct rst_job_reply
 {
@@ -301,20 +322,22 @@
 };
 
 /**
- * struct rst_task_start - A task to be started.
- * @team: The team.
+ * struct rst_task_start - Request to start a task.
+ * @team: Team that the job belongs to.
  * @job: Id of the job.
- * @owner: Incarnation of the job's owner, told of the task's end.
- * @index: Number of the task in the job.
- * @attempt: Number of this start of the task.
+ * @owner: Incarnation of the scheduler that owns the job; the end of the task
+ *   is reported to it.
+ * @index: Index of the task in its job.
+ * @attempt: Number of the attempt to run the task.
  * @policy: A value of enum rst_policy.
- * @cpu: Processor time in thousandths of a core.
- * @memory_mb: Memory.
- * @accelerators: Number of accelerators.
+ * @cpu: CPU that the task requires, in thousandths of a core.
+ * @memory_mb: Memory that the task requires, in megabytes.
+ * @accelerators: Number of accelerators that the task requires.
  * @run_ms: Declared run time; 0 for a service.
- * @deadline_ms: Time left for the start.
- * @hold_only: Only hold the place; a later message starts the task.
- * @run_once: A start whose outcome is unknown must not be sent again.
+ * @deadline_ms: Time left to start the task.
+ * @hold_only: Only reserves a worker's resources; a later request starts the
+ *   task.
+ * @run_once: The task must not be started again when it may have run.
  */
 struct rst_task_start
 {
@@ -334,13 +357,18 @@
 };
 
 /**
- * struct rst_task_event - What became of a task.
+ * struct rst_task_event - State of a task, or a request about a task.
  * @job: Id of the job.
- * @index: Number of the task.
- * @attempt: Number of the start.
- * @result: A value of enum rst_task_result.
- * @instance: The instance, or "".
- * @reason: A word naming the reason, or "".
+ * @index: Index of the task in its job; %UINT64_MAX in the last
+ *   %RST_TASK_FOUND of a reply.
+ * @attempt: Number of the attempt to run the task.  In %RST_TASK_FIND it is
+ *   the generation of the job record, and in the last %RST_TASK_FOUND the
+ *   revision of the ownership record.
+ * @result: A value of enum rst_task_result.  In %RST_TASK_STOP it is
+ *   %RST_TASK_MOVED to checkpoint the task first, and otherwise
+ *   %RST_TASK_STOPPED.
+ * @instance: Name of the instance, or "".
+ * @reason: Short name of the reason, or "".
  */
 struct rst_task_event
 {
@@ -353,10 +381,12 @@
 };
 
 /**
- * struct rst_adopted_runs - What a new owner found on a yielded instance.
- * @instance: The instance.
- * @team: A team with work running there.
- * @count: How many it has running there.
+ * struct rst_adopted_runs - Runs that the new owner of an instance found
+ * there.
+ * @instance: Name of the instance.
+ * @team: Team that the runs belong to, or "" in the message that follows the
+ *   last team.
+ * @count: Number of the team's runs on the instance.
  */
 struct rst_adopted_runs
 {
@@ -366,10 +396,10 @@
 };
 
 /**
- * enum rst_request_record_state - What is known of a request id.
- * @RST_REQUEST_RECORD_NONE: Nothing.
- * @RST_REQUEST_RECORD_RUNNING: It runs.
- * @RST_REQUEST_RECORD_ENDED: It has ended.
+ * enum rst_request_record_state - State of the request with a request id.
+ * @RST_REQUEST_RECORD_NONE: The scheduler has no record of the id.
+ * @RST_REQUEST_RECORD_RUNNING: The request is queued or running.
+ * @RST_REQUEST_RECORD_ENDED: The request has ended.
  */
 enum rst_request_record_state
 {
@@ -379,16 +409,19 @@
 };
 
 /**
- * struct rst_request_record - What is known of a request id.
+ * struct rst_request_record - A scheduler's record of a request id.
  * @key: Team and request id.
  * @state: A value of enum rst_request_record_state.
- * @outcome: How it ended; this and the rest as in struct rst_answer.
- * @status: HTTP status.
- * @reason: A word naming the reason of a refusal.
- * @detail: A sentence about it.
- * @instance: Instance that ran it.
- * @epoch: Epoch under which it was sent.
+ * @outcome: A value of enum rst_request_outcome.
+ * @status: HTTP status for the caller.
+ * @reason: Short name of the reason when the query was not answered.
+ * @detail: Text that explains @reason.
+ * @instance: Name of the instance that ran the query.
+ * @epoch: Ownership epoch under which the query was sent to the instance.
  * @body: The runner's answer.
+ *
+ * The members from @outcome on have the meaning of those of struct rst_answer
+ * and are set only in %RST_REQUEST_RECORD_ENDED.
  */
 struct rst_request_record
 {
@@ -406,7 +439,7 @@
 /**
  * struct rst_message - A message of any type.
  * @type: A value of enum rst_message_type.
- * @id: Number that matches an answer with its request; 0 for none.
+ * @id: Number of the request, repeated in its reply; 0 for none.
  */
 struct rst_message
 {
@@ -431,21 +464,24 @@
 };
 
 /**
- * rst_message_encode() - Writes a message.
- * @message: The message; NULL strings are written as "".
- * @out: Receives the bytes, to be freed with rst_blob_free().
+ * rst_message_encode() - Encodes a message as a frame.
+ * @message: The message; NULL strings are encoded as "".
+ * @out: Receives the frame, to be freed with rst_blob_free().
  *
- * Return: RST_PROTOCOL_OK or RST_PROTOCOL_TYPE.
+ * Return: %RST_PROTOCOL_OK, or %RST_PROTOCOL_TYPE when the message type is
+ * unknown.
  */
 int rst_message_encode (const struct rst_message *message,
                         struct rst_blob *out);
 
 /**
- * rst_message_decode() - Reads a message.
- * @data: The bytes.
- * @length: Their number.
- * @out: Receives the message, to be cleared with rst_message_clear().
- * @field: Receives the name of a wrong field, a static string, or NULL.
+ * rst_message_decode() - Decodes a frame.
+ * @data: The frame.
+ * @length: Length of the frame in bytes.
+ * @out: Receives the message, to be cleared with rst_message_clear(); it is
+ *   empty after an error.
+ * @field: Receives the name of the invalid field, a static string, after
+ *   %RST_PROTOCOL_FIELD, and NULL otherwise.
  *
  * Return: A value of enum rst_protocol_error.
  */
@@ -453,23 +489,36 @@
                         struct rst_message *out, const char **field);
 
 /**
- * rst_message_copy() - Copies a message with all its strings.
+ * rst_message_copy() - Copies a message with its strings and blobs.
  * @message: The message.
  * @out: Receives the copy, to be cleared with rst_message_clear().
  */
 void rst_message_copy (const struct rst_message *message,
                        struct rst_message *out);
 
-/** rst_message_clear() - Frees what a message owns. */
+/**
+ * rst_message_clear() - Frees the strings and blobs of a message.
+ * @message: The message; it is empty afterwards.
+ */
 void rst_message_clear (struct rst_message *message);
 
-/** rst_message_type_name() - Name of a type, for logs. */
+/**
+ * rst_message_type_name() - Names a message type for logs.
+ * @type: A value of enum rst_message_type.
+ *
+ * Return: A static string; "unknown" for any other value.
+ */
 const char *rst_message_type_name (uint64_t type);
 
-/** rst_blob_set() - Fills a blob with a copy of some bytes. */
+/**
+ * rst_blob_set() - Sets a blob to a copy of some bytes.
+ * @blob: The blob; its present bytes are not freed.
+ * @data: The bytes.
+ * @length: Number of bytes.
+ */
 void rst_blob_set (struct rst_blob *blob, const void *data, size_t length);
 
-/** rst_blob_free() - Frees a blob's bytes. */
+/** rst_blob_free() - Frees the bytes of a blob and empties it. */
 void rst_blob_free (struct rst_blob *blob);
 
 #endif
--- a/src/protocol/platform.h
+++ b/src/protocol/platform.h
@@ -1,10 +1,11 @@
 /**
- * DOC: platform - the systems outside, behind one table of callbacks
+ * DOC: platform - interface to the store, the instance list and the instances
  *
- * The key-value store, the list of instances, runners and workers are reached
- * only through this table.  Another platform is one more file that fills it.
- * Each call ends in exactly one call of its done function, on the thread that
- * made the call, and never before the call has returned.
+ * A scheduler reaches the key-value store, the list of instances, the runners
+ * and the workers only through struct rst_platform, so another platform needs
+ * only another implementation of this table.  Each call invokes its done
+ * callback exactly once, on the thread that made the call, and never before
+ * the call has returned.
  */
 #ifndef RST_PLATFORM_H
 #define RST_PLATFORM_H
@@ -16,14 +17,16 @@
 #include "rosemarystile.h"
 
 /**
- * enum rst_platform_result - How a call ended.
- * @RST_PLATFORM_OK: Done.
- * @RST_PLATFORM_CONFLICT: The compare-and-swap found another revision.
- * @RST_PLATFORM_NOT_FOUND: There is no such key or lease.
- * @RST_PLATFORM_REFUSED: The other side refused before it did anything.
- * @RST_PLATFORM_FENCED: The other side has seen a higher epoch.
- * @RST_PLATFORM_NOT_SENT: The call never left this process.
- * @RST_PLATFORM_UNKNOWN: The call may have taken effect.
+ * enum rst_platform_result - Result of a call.
+ * @RST_PLATFORM_OK: The call succeeded.
+ * @RST_PLATFORM_CONFLICT: The key does not have the expected revision.
+ * @RST_PLATFORM_NOT_FOUND: The key, lease or run does not exist.
+ * @RST_PLATFORM_REFUSED: The instance rejected the call without effect.
+ * @RST_PLATFORM_FENCED: The instance has seen a higher epoch and rejected the
+ *   call without effect.
+ * @RST_PLATFORM_NOT_SENT: The call was not sent.
+ * @RST_PLATFORM_UNKNOWN: No usable reply was received; the call may have taken
+ *   effect.
  */
 enum rst_platform_result
 {
@@ -36,18 +39,23 @@
   RST_PLATFORM_UNKNOWN,
 };
 
-/** rst_platform_result_name() - Name of a result, for logs. */
+/**
+ * rst_platform_result_name() - Names a result for logs.
+ * @result: A value of enum rst_platform_result.
+ *
+ * Return: A static string; "unknown" for any other value.
+ */
 const char *rst_platform_result_name (int result);
 
-/** Expected revision that allows any. */
+/** Expected revision of a write that is made whatever the present one is. */
 #define RST_ANY_REVISION (-1)
 
 /**
- * struct rst_kv - A key of the store.
+ * struct rst_kv - A key of the store and its value.
  * @key: The key.
- * @value: Its value; "" when deleted.
- * @revision: Store revision of its last change.
- * @deleted: It was deleted at that revision.
+ * @value: The value; "" when the key was deleted.
+ * @revision: Store revision of the last change of the key.
+ * @deleted: The key was deleted at that revision.
  */
 struct rst_kv
 {
@@ -59,8 +67,8 @@
 
 /**
  * enum rst_instance_kind - Kinds of instances.
- * @RST_RUNNER: Runs queries in slots.
- * @RST_WORKER: Runs tasks with processors, memory and accelerators.
+ * @RST_RUNNER: Runs queries; its capacity is a number of slots.
+ * @RST_WORKER: Runs tasks; its capacity is CPU, memory and accelerators.
  */
 enum rst_instance_kind
 {
@@ -69,17 +77,17 @@
 };
 
 /**
- * struct rst_instance_info - An instance as the platform lists it.
- * @name: Its name.
- * @zone: Its availability zone.
- * @rack: Its rack.
- * @address: "IP:PORT".
- * @kind: What it runs.
- * @leaving: It takes no new work.
- * @slots: Slots of a runner.
- * @cpu: Processor time of a worker in thousandths of a core.
- * @memory_mb: Memory of a worker.
- * @accelerators: Accelerators of a worker.
+ * struct rst_instance_info - An entry of the platform's list of instances.
+ * @name: Name of the instance.
+ * @zone: Availability zone of the instance.
+ * @rack: Rack of the instance.
+ * @address: "IP:PORT" at which the instance accepts calls.
+ * @kind: Whether it is a runner or a worker.
+ * @leaving: The instance is being drained; nothing is started there.
+ * @slots: Number of slots of a runner.
+ * @cpu: CPU of a worker, in thousandths of a core.
+ * @memory_mb: Memory of a worker, in megabytes.
+ * @accelerators: Number of accelerators of a worker.
  */
 struct rst_instance_info
 {
@@ -96,16 +104,17 @@
 };
 
 /**
- * enum rst_task_result - What became of a task.
- * @RST_TASK_RUNNING: It runs.
- * @RST_TASK_RESERVED: Its place is held.
- * @RST_TASK_DONE: It ended well.
- * @RST_TASK_FAILED: It ended with a failure.
- * @RST_TASK_STOPPED: It was stopped on request.
- * @RST_TASK_MOVED: It was checkpointed and stopped, to go on elsewhere.
- * @RST_TASK_LOST: Its instance no longer runs it and knows no result.
- * @RST_TASK_NOT_RUN: It was not started.
- * @RST_TASK_IN_DOUBT: It may have been started.
+ * enum rst_task_result - State or result of an attempt to run a task.
+ * @RST_TASK_RUNNING: The task is running.
+ * @RST_TASK_RESERVED: Resources are reserved; the task is not started yet.
+ * @RST_TASK_DONE: The task succeeded.
+ * @RST_TASK_FAILED: The task failed.
+ * @RST_TASK_STOPPED: The task was stopped on request.
+ * @RST_TASK_MOVED: The task was checkpointed and stopped, so that it can
+ *   continue on another worker.
+ * @RST_TASK_LOST: The worker no longer runs the task and has no result of it.
+ * @RST_TASK_NOT_RUN: The task was not started.
+ * @RST_TASK_IN_DOUBT: It is not known whether the task was started.
  */
 enum rst_task_result
 {
@@ -120,21 +129,28 @@
   RST_TASK_IN_DOUBT,
 };
 
-/** rst_task_result_name() - Name of a result. */
+/**
+ * rst_task_result_name() - Names a task result as on the wire.
+ * @result: A value of enum rst_task_result.
+ *
+ * Return: A static string; "unknown" for %RST_TASK_IN_DOUBT and any other
+ * value.
+ */
 const char *rst_task_result_name (uint64_t result);
 
 /**
- * struct rst_run_info - A query or a task as an instance runs it.
- * @id: Id under which it was started.
- * @team: Its team.
- * @job: Its job, or "" for a query.
- * @owner: Incarnation of the job's owner when it was started.
- * @index: Number of the task in its job.
- * @attempt: Number of the start.
+ * struct rst_run_info - A run of a query or a task on an instance.
+ * @id: Id of the run, unique among all instances.
+ * @team: Team that the query or job belongs to.
+ * @job: Id of the job, or "" for a query.
+ * @owner: Incarnation of the scheduler that owned the job when the run was
+ *   started.
+ * @index: Index of the task in its job.
+ * @attempt: Number of the attempt to run the task.
  * @policy: A value of enum rst_policy.
- * @cpu: Declared processor time in thousandths of a core.
- * @memory_mb: Declared memory.
- * @accelerators: Accelerators.
+ * @cpu: CPU that the task requires, in thousandths of a core.
+ * @memory_mb: Memory that the task requires, in megabytes.
+ * @accelerators: Number of accelerators that the task requires.
  * @run_ms: Declared run time; 0 for a service.
  * @result: A value of enum rst_task_result.
  */
@@ -155,19 +171,20 @@
 };
 
 /**
- * struct rst_platform_reply - The end of a call; valid during done.
+ * struct rst_platform_reply - Reply to a call; valid during the done callback.
  * @result: A value of enum rst_platform_result.
- * @status: HTTP status of a runner's or worker's answer, or 0.
- * @revision: Revision of the key or of the store; a new lease's id.
- * @sent_at: Time before the call was sent.
+ * @status: HTTP status of the reply; 0 when there was none.
+ * @revision: Revision of the key, the store or the instance list; for
+ *   lease_grant, the id of the new lease.
+ * @sent_at: Time just before the call was sent.
  * @kvs: Keys read or changed.
- * @kv_count: Their number.
+ * @kv_count: Number of keys.
  * @instances: Instances listed.
- * @instance_count: Their number.
- * @runs: Work that an instance reports.
- * @run_count: Their number.
+ * @instance_count: Number of instances.
+ * @runs: Runs that the instance reports.
+ * @run_count: Number of runs.
  * @body: A runner's answer.
- * @length: Its length in bytes.
+ * @length: Length of the answer in bytes.
  */
 struct rst_platform_reply
 {
@@ -185,20 +202,24 @@
   size_t length;
 };
 
-/** typedef rst_platform_done - Receives the end of a call. */
+/**
+ * typedef rst_platform_done - Receives the reply to a call.
+ * @reply: The reply, valid until the callback returns.
+ * @userdata: The data passed with the call.
+ */
 typedef void (*rst_platform_done) (const struct rst_platform_reply *reply,
                                    void *userdata);
 
 /**
- * struct rst_query_request - A query to be run.
- * @id: The request's id.
- * @team: Its team.
- * @epoch: Epoch of the owner.
- * @idempotent: Whether it may run more than once.
- * @deadline_ms: Time left.
- * @not_after: Last moment at which it may be sent.
- * @body: The body.
- * @length: Its length in bytes.
+ * struct rst_query_request - Request to run a query on a runner.
+ * @id: Request id.
+ * @team: Team that the query belongs to.
+ * @epoch: Ownership epoch of the runner under which the request is sent.
+ * @idempotent: Whether the query may run more than once.
+ * @deadline_ms: Time left until the deadline.
+ * @not_after: Last time at which the request may be sent.
+ * @body: Body of the query.
+ * @length: Length of the body in bytes.
  */
 struct rst_query_request
 {
@@ -213,27 +234,32 @@
 };
 
 /**
- * struct rst_platform - Table of the outside systems.
+ * struct rst_platform - Calls to the store, the instance list and instances.
  * @store_get: Reads a key.
  * @store_list: Reads all keys with a prefix.
- * @store_put: Writes a key if it has the expected revision, 0 for absent;
- *   a lease other than 0 deletes it when it lapses.
+ * @store_put: Writes a key if it has the expected revision, or 0 if it must
+ *   not exist.  When @lease is not 0, the store deletes the key when that
+ *   lease expires.
  * @store_delete: Deletes a key if it has the expected revision.
- * @store_watch: Waits for changes of keys with a prefix after a revision.
- * @lease_grant: Obtains a lease; its id comes as the reply's revision.
+ * @store_watch: Long poll: returns the changes of keys with a prefix after a
+ *   revision, waiting up to @wait_ms for the first.  %RST_PLATFORM_NOT_FOUND
+ *   means that the store no longer has all changes since that revision.
+ * @lease_grant: Creates a lease; the reply's revision is its id.
  * @lease_renew: Renews a lease.
- * @lease_revoke: Gives a lease up.
- * @instance_list_fetch: Lists all instances if the list has changed since a
- * revision; otherwise the reply has that revision and no instances.
+ * @lease_revoke: Ends a lease.
+ * @instance_list_fetch: Lists all instances if the list has changed since
+ *   revision @after; otherwise the reply has that revision and no instances.
  * @query_run: Runs a query on a runner.
- * @instance_inspect: Tells an instance the epoch of its owner and lists its
- * work.
- * @task_start: Starts a task on a worker under a lease.
- * @task_renew: Renews a worker's task leases and lists its work; ends that
- *   are named as seen are forgotten by the worker.
- * @task_stop: Stops a task, after a checkpoint if asked.
+ * @instance_inspect: Tells an instance its owner's epoch, which fences calls
+ *   with a lower one, and lists the runs on it.
+ * @task_start: Starts a task on a worker; the worker stops it when its lease
+ *   of @lease_ms expires.  The request is not sent after @not_after.
+ * @task_renew: Renews the leases of all tasks on a worker and lists its runs.
+ *   The worker forgets the ended tasks in @ended_ids, a NULL-terminated array.
+ * @task_stop: Stops a task, after a checkpoint if @checkpoint is set; the
+ *   reply holds the run.
  *
- * Each takes the table's userdata first.
+ * Each function takes the platform's own data as its first argument.
  */
 struct rst_platform
 {
--- a/src/protocol/platform_http.c
+++ b/src/protocol/platform_http.c
@@ -9,18 +9,19 @@
 #include "transport/http_client.h"
 #include "transport/transport.h"
 
-/** Bounds on open connections. */
+/** Largest numbers of open connections. */
 #define STORE_CONNECTIONS_MAX 8
 #define INSTANCE_CONNECTIONS_MAX 512
 #define CONNECTIONS_PER_INSTANCE_MAX 60
 
-/** Longest URL. */
+/** Size of a URL or path with the final NUL. */
 #define URL_SIZE_BYTES 512
 
-/** Most headers of a call. */
+/** Size of a call's NULL-terminated list of headers. */
 #define HEADERS_MAX 10
 
-/* How an answer's body is read. */
+/* How the body of a successful reply is parsed.  With BODY_NONE only its
+   revision is read; with BODY_RAW it is passed on as it is. */
 enum body_kind
 {
   BODY_NONE,
@@ -31,6 +32,7 @@
   BODY_RAW,
 };
 
+/* A call under way, and its reply once it has ended. */
 struct rst_platform_request
 {
   struct rst_platform_http *platform;
@@ -49,8 +51,7 @@
   struct rst_http_client *instance_client;
 };
 
-/* ---- Answers
- * ------------------------------------------------------------------- */
+/* ---- Replies ---------------------------------------------------------- */
 
 static void
 read_kv (struct json_object *item, struct rst_kv *out)
@@ -115,7 +116,7 @@
           = &reply->instances[reply->instance_count];
 
       read_instance (json_object_array_get_idx (list, i), info);
-      /* An entry without a name or address is of no use. */
+      /* An entry without a name or address can't be used and is dropped. */
       if (info->name[0] != '\0' && info->address[0] != '\0')
         reply->instance_count++;
     }
@@ -190,7 +191,8 @@
   json_object_put (root);
 }
 
-/* A store that refuses may still have done what was asked. */
+/* An error status other than these does not tell whether the store has made
+   the change, so the result is unknown. */
 static int
 map_store_status (int status)
 {
@@ -261,8 +263,7 @@
   g_free (request);
 }
 
-/* ---- Calls
- * ---------------------------------------------------------------------- */
+/* ---- Calls ------------------------------------------------------------ */
 
 static struct rst_platform_request *
 request_create (struct rst_platform_http *platform, enum body_kind kind,
--- a/src/state/job.c
+++ b/src/state/job.c
@@ -6,12 +6,13 @@
 #include "state/json.h"
 #include "util/conf.h"
 
-/** Bounds on what one task may ask for. */
+/** Largest requirements of a task. */
 #define CPU_MAX_MILLI 1000000
 #define MEMORY_MAX_MB (64 * 1024 * 1024)
 #define ACCELERATORS_MAX 1024
 #define RUN_MAX_MS ((int64_t)1000 * 60 * 60 * 24 * 30)
 
+/* Target of rst_conf_read() for a job specification. */
 struct spec_fields
 {
   char id[RST_NAME_SIZE];
@@ -20,6 +21,7 @@
   struct rst_job_spec spec;
 };
 
+/* In the order of enum rst_policy. */
 static const char *const policy_names[] = { "batch", "service", "gang", NULL };
 static const char *const urgency_names[] = { "normal", "urgent", NULL };
 
@@ -73,7 +75,7 @@
   if (is_service && (fields->spec.run_ms != 0 || fields->spec.run_once))
     {
       g_string_append (problems,
-                       "run_ms: a service has no run time and runs on\n");
+                       "run_ms: a service takes no run_ms or run_once\n");
       valid = false;
     }
   return valid;
--- a/src/state/json.h
+++ b/src/state/json.h
@@ -1,5 +1,8 @@
 /**
- * DOC: json - short forms for reading and writing JSON records
+ * DOC: json - access to members of JSON objects by type
+ *
+ * The functions that read a member accept NULL or any JSON value as the
+ * object; a member of another type counts as absent.
  */
 #ifndef RST_JSON_H
 #define RST_JSON_H
@@ -10,46 +13,79 @@
 
 #include <json-c/json.h>
 
-/** rst_json_parse() - Reads JSON text of known length, or returns NULL. */
+/**
+ * rst_json_parse() - Parses JSON text.
+ * @text: NUL-terminated text.
+ *
+ * Return: The value, to be released with json_object_put(), or NULL when the
+ * text is not JSON.
+ */
 struct json_object *rst_json_parse (const char *text);
 
-/** rst_json_get_text() - A member that is text, or NULL. */
+/**
+ * rst_json_get_text() - Reads a string member.
+ * @object: The object.
+ * @key: Name of the member.
+ *
+ * Return: The text, owned by @object, or NULL when it is absent.
+ */
 const char *rst_json_get_text (struct json_object *object, const char *key);
 
-/** rst_json_get_number() - A member that is a whole number, or a default. */
+/**
+ * rst_json_get_number() - Reads an integer member.
+ * @object: The object.
+ * @key: Name of the member.
+ * @fallback: Returned when the member is absent.
+ */
 int64_t rst_json_get_number (struct json_object *object, const char *key,
                              int64_t fallback);
 
-/** rst_json_get_bool() - A member that is true or false, or a default. */
+/**
+ * rst_json_get_bool() - Reads a boolean member.
+ * @object: The object.
+ * @key: Name of the member.
+ * @fallback: Returned when the member is absent.
+ */
 bool rst_json_get_bool (struct json_object *object, const char *key,
                         bool fallback);
 
-/** rst_json_get_array() - A member that is an array, or NULL. */
+/**
+ * rst_json_get_array() - Reads an array member.
+ * @object: The object.
+ * @key: Name of the member.
+ *
+ * Return: The array, owned by @object, or NULL when it is absent.
+ */
 struct json_object *rst_json_get_array (struct json_object *object,
                                         const char *key);
 
 /**
- * rst_json_copy_text() - Copies a member that is text.
+ * rst_json_copy_text() - Copies a string member.
+ * @object: The object.
+ * @key: Name of the member.
+ * @out: Receives the text; unchanged when the copy fails.
+ * @size: Size of @out in bytes.
  *
- * Return: false when it is absent, not text or too long for @size bytes.
+ * Return: false when the member is absent or does not fit with its final NUL.
  */
 bool rst_json_copy_text (struct json_object *object, const char *key,
                          char *out, size_t size);
 
-/** rst_json_set_text() - Adds a member that is text. */
+/** rst_json_set_text() - Sets a string member. */
 void rst_json_set_text (struct json_object *object, const char *key,
                         const char *value);
 
-/** rst_json_set_number() - Adds a member that is a number. */
+/** rst_json_set_number() - Sets an integer member. */
 void rst_json_set_number (struct json_object *object, const char *key,
                           int64_t value);
 
-/** rst_json_set_bool() - Adds a member that is true or false. */
+/** rst_json_set_bool() - Sets a boolean member. */
 void rst_json_set_bool (struct json_object *object, const char *key,
                         bool value);
 
 /**
- * rst_json_format_and_release() - Writes an object as text and releases it.
+ * rst_json_format_and_release() - Formats an object as text and releases it.
+ * @object: The object; it must not be used afterwards.
  *
  * Return: The text, to be freed with free().
  */
--- a/src/state/settings.c
+++ b/src/state/settings.c
@@ -9,22 +9,23 @@
 #include "state/json.h"
 #include "util/conf.h"
 
-/** Default bound on a request's deadline. */
+/** Default of the longest deadline of a request. */
 #define DEFAULT_MAX_DEADLINE_MS 60000
 
-/** Default bound on a team's waiting queries at one scheduler. */
+/** Default of the largest number of queued queries of a team. */
 #define DEFAULT_MAX_QUEUED_PER_TEAM 512
 
-/** Length of a secret in bytes. */
+/** Length of a key's secret. */
 #define SECRET_BYTES 32
 
+/* The parsed branch of the zones. */
 struct zone_settings
 {
   int count;
   struct rst_zone_setting zones[RST_ZONES_MAX];
 };
 
-/* One branch; only the member for its kind is set. */
+/* A settings branch.  One of the last four members holds its parsed value. */
 struct branch
 {
   char *key;
@@ -311,7 +312,7 @@
   return RST_STATE_INVALID;
 }
 
-/* Parses a value into the members of an otherwise empty branch. */
+/* Parses and checks a value into the member for its kind of branch. */
 static int
 parse_branch (struct branch *branch, const char *key, uint64_t revision,
               const char *value, GString *problems)
@@ -551,7 +552,7 @@
     {
       const struct branch *branch = value;
 
-      /* The sum does not depend on the order of the branches. */
+      /* A sum does not depend on the order of the branches. */
       if (branch->revision > 0)
         hash += XXH3_64bits_withSeed (branch->key, strlen (branch->key),
                                       branch->revision);
--- a/src/state/settings.h
+++ b/src/state/settings.h
@@ -1,10 +1,11 @@
 /**
- * DOC: settings - the operators' settings tree as one process holds it
+ * DOC: settings - a process's copy of the operators' settings tree
  *
- * Each branch is held at the highest revision that was sound; a branch never
- * goes back.  An unsound value is refused as a whole and leaves the branch as
- * it was.  Ownership records of availability zones are kept beside the
- * settings because they spread between processes the same way.
+ * The tree consists of settings branches, one for each store key.  A process
+ * holds each branch at the highest valid revision that it has received and
+ * never returns to an older one.  An invalid value is rejected as a whole, and
+ * the branch keeps its old value.  The ownership records of availability zones
+ * are held here as well, because they are distributed in the same way.
  */
 #ifndef RST_SETTINGS_H
 #define RST_SETTINGS_H
@@ -17,34 +18,34 @@
 #include "rosemarystile.h"
 #include "state/state.h"
 
-/** Store keys of the branches. */
+/** Store keys of the settings branches, or their prefixes. */
 #define RST_KEY_SETTINGS "settings/"
 #define RST_KEY_CELL "settings/cell"
 #define RST_KEY_ZONES "settings/zones"
 #define RST_KEY_TEAMS "settings/teams/"
-/** Store keys of what the schedulers share. */
+/** Prefixes of the store keys that the schedulers share. */
 #define RST_KEY_SHARED "shared/"
 #define RST_KEY_ZONE_RECORDS "shared/zones/"
 
-/** Upper limit of a team that has none. */
+/** Value of a team's upper limit when it has none. */
 #define RST_NO_UPPER_LIMIT UINT32_MAX
 
-/** Longest name of a team in bytes. */
+/** Longest name of a team, without the final NUL. */
 #define RST_TEAM_NAME_MAX_BYTES 24
 
-/** Largest number of keys of one team. */
+/** Largest number of API keys of one team. */
 #define RST_TEAM_KEYS_MAX 32
 
 /** Largest number of availability zones. */
 #define RST_ZONES_MAX 16
 
-/** Size of a key's hash in hexadecimal digits with the final NUL. */
+/** Size of a key's hash as hexadecimal digits with the final NUL. */
 #define RST_TEAM_KEY_HASH_SIZE 65
 
 /**
- * struct rst_team_key - A key that a team may present.
- * @id: Names the key.
- * @hash: Hash of its secret in hexadecimal digits.
+ * struct rst_team_key - An API key of a team as stored in the settings.
+ * @id: Id of the key, unique in its team.
+ * @hash: Hash of the key's secret, in hexadecimal digits.
  */
 struct rst_team_key
 {
@@ -53,13 +54,15 @@
 };
 
 /**
- * struct rst_team - A team as the settings describe it.
- * @name: Its name.
- * @share: Its weight when the fleet is full.
- * @upper_limit: How much it may have running, or RST_NO_UPPER_LIMIT.
+ * struct rst_team - Settings of a team.
+ * @name: Name of the team.
+ * @share: Weight of the team when the fleet is full.
+ * @upper_limit: Largest number of runs that the team may have at a time, or
+ *   %RST_NO_UPPER_LIMIT.
  * @key_count: Number of keys.
- * @keys: The keys.
- * @deleted: The team is gone; its branch remains to keep its revision.
+ * @keys: The team's API keys.
+ * @deleted: The team is deleted.  Its branch stays in the store so that its
+ *   revision is not lost.
  */
 struct rst_team
 {
@@ -72,10 +75,12 @@
 };
 
 /**
- * struct rst_zone_setting - What operators say of an availability zone.
- * @name: The zone.
- * @out_of_service: Nothing may be started there.
- * @move_running: Running work is checkpointed and moved, too.
+ * struct rst_zone_setting - Settings of an availability zone.
+ * @name: Name of the zone.
+ * @out_of_service: Operators have taken the zone out; nothing is started
+ *   there.
+ * @move_running: Tasks that run in a zone taken out are checkpointed and
+ *   moved instead of being left to finish.
  */
 struct rst_zone_setting
 {
@@ -86,10 +91,11 @@
 
 /**
  * struct rst_cell_settings - Settings of the whole cell.
- * @max_deadline_ms: Bound on a request's deadline.
- * @max_queued_per_team: Bound on a team's waiting queries at one scheduler.
- * @stopped_incarnations: Incarnations that operators know to have stopped,
- * separated by spaces.
+ * @max_deadline_ms: Longest deadline of a request.
+ * @max_queued_per_team: Largest number of queries of one team in a scheduler's
+ *   queue.
+ * @stopped_incarnations: Incarnations that operators declare to have stopped,
+ *   separated by spaces or commas.
  */
 struct rst_cell_settings
 {
@@ -101,138 +107,188 @@
 struct rst_settings;
 
 /**
- * typedef rst_settings_branch_visitor - Receives one branch.
- * @key: Its store key.
+ * typedef rst_settings_branch_visitor - Called for each settings branch.
+ * @key: Store key of the branch.
  * @revision: Revision in force.
- * @value: Its JSON text, "" when deleted.
+ * @value: JSON text; "" when the branch was deleted.
+ * @userdata: The data passed to rst_settings_visit_branches().
  */
 typedef void (*rst_settings_branch_visitor) (const char *key,
                                              uint64_t revision,
                                              const char *value,
                                              void *userdata);
 
-/** rst_settings_create() - Creates an empty tree. */
+/**
+ * rst_settings_create() - Creates an empty tree.
+ *
+ * Return: The tree, to be freed with rst_settings_destroy().
+ */
 struct rst_settings *rst_settings_create (void);
 
-/** rst_settings_destroy() - Frees a tree, or NULL. */
+/** rst_settings_destroy() - Frees a tree; NULL is allowed. */
 void rst_settings_destroy (struct rst_settings *settings);
 
 /**
- * rst_settings_apply() - Puts a revision of a branch in force.
+ * rst_settings_apply() - Checks a revision of a branch and puts it in force.
  * @settings: The tree.
- * @key: The branch's store key.
- * @revision: Its store revision.
- * @value: Its JSON text; "" when deleted.
- * @problems: Receives a line for each problem.
+ * @key: Store key of the branch.
+ * @revision: Store revision.
+ * @value: JSON text; "" when the branch was deleted.
+ * @problems: Receives one line for each problem.
  *
- * Return: RST_STATE_OK, RST_STATE_STALE or RST_STATE_INVALID.
+ * Return: %RST_STATE_OK; %RST_STATE_STALE when this revision or a newer one
+ * was applied or rejected before; or %RST_STATE_INVALID, and then the branch
+ * keeps its old value.
  */
 int rst_settings_apply (struct rst_settings *settings, const char *key,
                         uint64_t revision, const char *value,
                         GString *problems);
 
 /**
- * rst_settings_check() - Checks a branch's value without keeping it.
- * @key: The branch's store key.
- * @value: Its JSON text.
- * @problems: Receives a line for each problem.
+ * rst_settings_check() - Checks a value of a branch without applying it.
+ * @key: Store key of the branch.
+ * @value: JSON text.
+ * @problems: Receives one line for each problem.
  *
- * Return: RST_STATE_OK or RST_STATE_INVALID.
+ * Return: %RST_STATE_OK or %RST_STATE_INVALID.
  */
 int rst_settings_check (const char *key, const char *value, GString *problems);
 
-/** rst_settings_find_team() - Finds a team that is not deleted, or NULL. */
+/**
+ * rst_settings_find_team() - Finds a team by its name.
+ * @settings: The tree.
+ * @name: Name of the team.
+ *
+ * Return: The team, valid until its branch changes, or NULL when it does not
+ * exist or is deleted.
+ */
 const struct rst_team *
 rst_settings_find_team (const struct rst_settings *settings, const char *name);
 
 /**
- * rst_settings_find_zone() - What operators say of a zone.
+ * rst_settings_find_zone() - Finds the settings of an availability zone.
+ * @settings: The tree.
+ * @zone: Name of the zone.
  *
- * Return: The setting, or NULL when they say nothing of it.
+ * Return: The settings, valid until the branch of the zones changes, or NULL
+ * when the zone has none.
  */
 const struct rst_zone_setting *
 rst_settings_find_zone (const struct rst_settings *settings, const char *zone);
 
-/** rst_settings_is_zone_out() - Whether a zone is taken out. */
+/** rst_settings_is_zone_out() - Returns whether a zone is taken out. */
 bool rst_settings_is_zone_out (const struct rst_settings *settings,
                                const char *zone);
 
-/** rst_settings_get_cell() - Settings of the cell; defaults when unset. */
+/**
+ * rst_settings_get_cell() - Returns the settings of the cell.
+ * @settings: The tree.
+ *
+ * Return: The settings, valid until their branch changes; the defaults when
+ * the branch is not set.
+ */
 const struct rst_cell_settings *
 rst_settings_get_cell (const struct rst_settings *settings);
 
-/** rst_settings_find_zone_record() - A zone's ownership record, or NULL. */
+/**
+ * rst_settings_find_zone_record() - Finds the ownership record of a zone.
+ * @settings: The tree.
+ * @zone: Name of the zone.
+ *
+ * Return: The record, valid until a new revision is applied, or NULL.
+ */
 const struct rst_zone *
 rst_settings_find_zone_record (const struct rst_settings *settings,
                                const char *zone);
 
-/** rst_settings_visit_zone_records() - Visits all ownership records. */
+/**
+ * rst_settings_visit_zone_records() - Visits all ownership records.
+ * @settings: The tree.
+ * @visit: Called for each record.
+ * @userdata: Passed to @visit.
+ */
 void rst_settings_visit_zone_records (
     const struct rst_settings *settings,
     void (*visit) (const struct rst_zone *record, void *userdata),
     void *userdata);
 
-/** rst_settings_visit_branches() - Visits all branches. */
+/**
+ * rst_settings_visit_branches() - Visits all settings branches and ownership
+ * records.
+ * @settings: The tree.
+ * @visit: Called for each branch that has a value in force.
+ * @userdata: Passed to @visit.
+ */
 void rst_settings_visit_branches (const struct rst_settings *settings,
                                   rst_settings_branch_visitor visit,
                                   void *userdata);
 
 /**
- * rst_settings_get_problem() - Why a newer revision of a branch is not in
- * force.
- * @revision: Receives the refused revision.
+ * rst_settings_get_problem() - Tells why the newest revision of a branch was
+ * rejected.
+ * @settings: The tree.
+ * @key: Store key of the branch.
+ * @revision: Receives the rejected revision.
  *
- * Return: The problem, or NULL when there is none.
+ * Return: One line for each problem, or NULL when the newest revision is in
+ * force.
  */
 const char *rst_settings_get_problem (const struct rst_settings *settings,
                                       const char *key, uint64_t *revision);
 
-/** rst_settings_get_hash() - Hash over all keys and their revisions. */
+/** rst_settings_get_hash() - Hashes the keys and revisions of all branches. */
 uint64_t rst_settings_get_hash (const struct rst_settings *settings);
 
-/** rst_settings_get_newest_revision() - Highest revision held. */
+/** rst_settings_get_newest_revision() - Returns the highest revision applied.
+ */
 uint64_t
 rst_settings_get_newest_revision (const struct rst_settings *settings);
 
-/** rst_settings_get_revision() - Revision of a branch, or 0. */
+/** rst_settings_get_revision() - Returns the revision of a branch, or 0. */
 uint64_t rst_settings_get_revision (const struct rst_settings *settings,
                                     const char *key);
 
 /**
- * rst_team_key_create() - Makes a key for a team.
- * @team: The team.
- * @id: Names the key.
+ * rst_team_key_create() - Creates an API key for a team.
+ * @team: Name of the team.
+ * @id: Id of the key.
  * @secret: 32 random bytes.
- * @key: Receives what the team presents.
+ * @key: Receives the key that the team's callers send, "TEAM/ID/SECRET".
  * @size: Size of @key in bytes.
- * @out: Receives what the settings store.
+ * @out: Receives the id and hash to be stored in the settings.
  */
 void rst_team_key_create (const char *team, const char *id,
                           const unsigned char *secret, char *key, size_t size,
                           struct rst_team_key *out);
 
 /**
- * rst_settings_find_team_by_key() - Finds the team that a key belongs to.
+ * rst_settings_find_team_by_key() - Checks an API key and finds its team.
  * @settings: The tree.
- * @key: What the caller presents.
+ * @key: The key sent by a caller.
  *
- * Return: The team, or NULL when the key is malformed, unknown or withdrawn.
+ * Return: The team, valid until its branch changes, or NULL when the key is
+ * malformed, unknown or withdrawn.
  */
 const struct rst_team *
 rst_settings_find_team_by_key (const struct rst_settings *settings,
                                const char *key);
 
-/** rst_team_format() - Writes a team as JSON, to be freed with free(). */
+/**
+ * rst_team_format() - Formats a team as JSON text.
+ * @team: The team.
+ *
+ * Return: The text, to be freed with free().
+ */
 char *rst_team_format (const struct rst_team *team);
 
 /**
- * rst_team_parse() - Reads a team.
- * @name: Its name.
- * @value: JSON text; "" for a deleted branch.
+ * rst_team_parse() - Parses the settings of a team.
+ * @name: Name of the team.
+ * @value: JSON text; "" for a branch that does not exist or was deleted.
  * @out: Receives the team.
- * @problems: Receives a line for each problem.
+ * @problems: Receives one line for each problem.
  *
- * Return: RST_STATE_OK or RST_STATE_INVALID.
+ * Return: %RST_STATE_OK or %RST_STATE_INVALID.
  */
 int rst_team_parse (const char *name, const char *value, struct rst_team *out,
                     GString *problems);
--- a/src/state/state.c
+++ b/src/state/state.c
@@ -8,13 +8,13 @@
     case RST_STATE_OK:
       return "success";
     case RST_STATE_INVALID:
-      return "value is unsound";
+      return "invalid value";
     case RST_STATE_STALE:
-      return "a newer revision is held";
+      return "a newer revision is known";
     case RST_STATE_UNKNOWN:
       return "not found";
     case RST_STATE_FULL:
-      return "a bound was reached";
+      return "limit reached";
     default:
       return "unknown state error";
     }
--- a/src/state/state.h
+++ b/src/state/state.h
@@ -7,10 +7,10 @@
 /**
  * enum rst_state_error - Errors of the state layer.
  * @RST_STATE_OK: Success.
- * @RST_STATE_INVALID: A value is unsound.
- * @RST_STATE_STALE: A newer revision is held.
- * @RST_STATE_UNKNOWN: There is no such thing.
- * @RST_STATE_FULL: A bound was reached.
+ * @RST_STATE_INVALID: A value is invalid.
+ * @RST_STATE_STALE: This revision or a newer one is already known.
+ * @RST_STATE_UNKNOWN: The object does not exist.
+ * @RST_STATE_FULL: A limit on the number of objects is reached.
  */
 enum rst_state_error
 {
@@ -21,7 +21,12 @@
   RST_STATE_FULL,
 };
 
-/** rst_state_strerror() - Describes an error of this layer. */
+/**
+ * rst_state_strerror() - Describes an error.
+ * @error: A value of enum rst_state_error.
+ *
+ * Return: A static string.
+ */
 const char *rst_state_strerror (int error);
 
 #endif
