--- a/test/unit/state_test.cc
+++ b/test/unit/state_test.cc
@@ -1,5 +1,6 @@
 /**
- * DOC: state_test - settings, keys, jobs, messages and settings files
+ * DOC: state_test - tests of settings, API keys, job records, messages and
+ * settings files
  */
 #include <cstdlib>
 #include <cstring>
@@ -47,7 +48,7 @@
   GString *problems;
 };
 
-TEST_F (Settings, NeverGoBack)
+TEST_F (Settings, IgnoreOlderRevisions)
 {
   EXPECT_EQ (apply ("settings/teams/t", 5, "{\"share\":2}"), RST_STATE_OK);
   EXPECT_EQ (apply ("settings/teams/t", 4, "{\"share\":9}"), RST_STATE_STALE);
@@ -55,7 +56,7 @@
   EXPECT_EQ (rst_settings_get_newest_revision (settings), 5u);
 }
 
-TEST_F (Settings, AnUnsoundBranchIsRefusedAsAWhole)
+TEST_F (Settings, RejectAnInvalidBranchAsAWhole)
 {
   uint64_t rejected = 0;
 
@@ -76,7 +77,7 @@
       nullptr);
 }
 
-TEST_F (Settings, NameTheFieldThatIsWrong)
+TEST_F (Settings, NameTheInvalidField)
 {
   EXPECT_EQ (apply ("settings/zones", 1, "{\"z1\":{\"state\":\"gone\"}}"),
              RST_STATE_INVALID);
@@ -90,7 +91,7 @@
   EXPECT_STREQ (problems->str, "(key): no such branch\n");
 }
 
-TEST_F (Settings, ZonesAreTakenOutAndBroughtBack)
+TEST_F (Settings, TakeAZoneOutAndBringItBack)
 {
   apply ("settings/zones", 1, "{\"z1\":{\"state\":\"out\"}}");
   EXPECT_TRUE (rst_settings_is_zone_out (settings, "z1"));
@@ -99,7 +100,7 @@
   EXPECT_FALSE (rst_settings_is_zone_out (settings, "z1"));
 }
 
-TEST_F (Settings, TheHashDoesNotDependOnTheOrder)
+TEST_F (Settings, HashDoesNotDependOnOrder)
 {
   struct rst_settings *other = rst_settings_create ();
 
@@ -112,7 +113,7 @@
   rst_settings_destroy (other);
 }
 
-TEST_F (Settings, AKeyOpensItsTeamUntilItIsWithdrawn)
+TEST_F (Settings, KeyIdentifiesItsTeamUntilWithdrawn)
 {
   struct rst_team team = {};
   struct rst_team_key stored;
@@ -141,7 +142,7 @@
   EXPECT_EQ (rst_settings_find_team_by_key (settings, key), nullptr);
 }
 
-TEST (Job, NamesWhatIsWrong)
+TEST (Job, NamesTheInvalidField)
 {
   struct rst_job_spec spec;
   char id[RST_NAME_SIZE];
@@ -163,7 +164,7 @@
   g_string_free (problems, TRUE);
 }
 
-TEST (Job, TheRecordSurvivesItsJson)
+TEST (Job, RecordIsUnchangedByFormatAndParse)
 {
   struct rst_job_record record = {};
   struct rst_job_record read;
@@ -188,7 +189,7 @@
   EXPECT_EQ (rst_job_record_parse ("{}", 1, &read), RST_STATE_INVALID);
 }
 
-TEST (Message, SurvivesItsFrame)
+TEST (Message, IsUnchangedByEncodeAndDecode)
 {
   struct rst_message message = {};
   struct rst_message read;
@@ -215,7 +216,7 @@
   rst_blob_free (&frame);
 }
 
-TEST (Message, RefusesWhatIsMalformed)
+TEST (Message, DecodeRejectsMalformedFrames)
 {
   struct rst_message message = {};
   struct rst_message read;
@@ -227,7 +228,8 @@
   for (size_t length = 0; length < frame.length; length++)
     EXPECT_NE (rst_message_decode (frame.data, length, &read, &field),
                RST_PROTOCOL_OK);
-  /* Element 1 of the array is the version, element 2 the type. */
+  /* Byte 0 is the array's header.  Bytes 1 to 3 hold the version, type and
+     request number, byte 4 the first field. */
   frame.data[1] = 9;
   EXPECT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
              RST_PROTOCOL_VERSION);
