--- a/src/cli/teams.c
+++ b/src/cli/teams.c
@@ -25,7 +25,7 @@
 };
 
 static char *
-build_team_key (const char *team)
+build_team_store_key (const char *team)
 {
   return g_strconcat (RST_KEY_TEAMS, team, NULL);
 }
@@ -43,8 +43,8 @@
 }
 
 static bool
-parse_existing (const struct team_edit *edit, const char *value,
-                struct rst_team *out)
+parse_existing_team (const struct team_edit *edit, const char *value,
+                     struct rst_team *out)
 {
   if (!parse_team (edit->name, value, out))
     return false;
@@ -86,7 +86,7 @@
   const struct team_edit *edit = data;
   struct rst_team team;
 
-  if (!parse_existing (edit, value, &team))
+  if (!parse_existing_team (edit, value, &team))
     return NULL;
   team.deleted = true;
   team.key_count = 0;
@@ -99,7 +99,7 @@
   const struct team_edit *edit = data;
   struct rst_team team;
 
-  if (!parse_existing (edit, value, &team))
+  if (!parse_existing_team (edit, value, &team))
     return NULL;
   if (team.key_count == RST_TEAM_KEYS_MAX)
     {
@@ -123,7 +123,7 @@
   const struct team_edit *edit = data;
   struct rst_team team;
 
-  if (!parse_existing (edit, value, &team))
+  if (!parse_existing_team (edit, value, &team))
     return NULL;
   for (int i = 0; i < team.key_count; i++)
     if (strcmp (team.keys[i].id, edit->key_id) == 0)
@@ -139,7 +139,7 @@
 static int
 update_team (struct team_edit *edit, cli_edit function)
 {
-  char *key = build_team_key (edit->name);
+  char *key = build_team_store_key (edit->name);
   uint64_t revision = 0;
   int result = cli_store_update (edit->args, key, function, edit, &revision);
 
@@ -205,7 +205,7 @@
 int
 cli_key_list (const struct cli_args *args)
 {
-  char *key = build_team_key (args->operands[0]);
+  char *key = build_team_store_key (args->operands[0]);
   char *value = NULL;
   uint64_t revision;
   struct rst_team team;
--- a/test/unit/state_test.cc
+++ b/test/unit/state_test.cc
@@ -167,7 +167,7 @@
 TEST (Job, RecordIsUnchangedByFormatAndParse)
 {
   struct rst_job_record record = {};
-  struct rst_job_record read;
+  struct rst_job_record decoded;
   char *text;
 
   strcpy (record.name, "t/j");
@@ -177,22 +177,22 @@
   record.start_intent = 2;
   record.task_outcomes = g_strdup ("d.u.");
   text = rst_job_record_format (&record);
-  ASSERT_EQ (rst_job_record_parse (text, 8, &read), RST_STATE_OK);
-  EXPECT_STREQ (read.task_outcomes, "d.u.");
-  EXPECT_EQ (read.generation, 3u);
-  EXPECT_EQ (read.start_intent, 2);
-  EXPECT_FALSE (rst_job_record_is_finished (&read));
-  EXPECT_STREQ (rst_job_record_get_state (&read), "running");
+  ASSERT_EQ (rst_job_record_parse (text, 8, &decoded), RST_STATE_OK);
+  EXPECT_STREQ (decoded.task_outcomes, "d.u.");
+  EXPECT_EQ (decoded.generation, 3u);
+  EXPECT_EQ (decoded.start_intent, 2);
+  EXPECT_FALSE (rst_job_record_is_finished (&decoded));
+  EXPECT_STREQ (rst_job_record_get_state (&decoded), "running");
   free (text);
   rst_job_record_clear (&record);
-  rst_job_record_clear (&read);
-  EXPECT_EQ (rst_job_record_parse ("{}", 1, &read), RST_STATE_INVALID);
+  rst_job_record_clear (&decoded);
+  EXPECT_EQ (rst_job_record_parse ("{}", 1, &decoded), RST_STATE_INVALID);
 }
 
 TEST (Message, IsUnchangedByEncodeAndDecode)
 {
   struct rst_message message = {};
-  struct rst_message read;
+  struct rst_message decoded;
   struct rst_blob frame;
   const char *field;
 
@@ -205,41 +205,41 @@
   message.query.body.data = (char *)"a\0b";
   message.query.body.length = 3;
   ASSERT_EQ (rst_message_encode (&message, &frame), RST_PROTOCOL_OK);
-  ASSERT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
+  ASSERT_EQ (rst_message_decode (frame.data, frame.length, &decoded, &field),
              RST_PROTOCOL_OK);
-  EXPECT_EQ (read.id, 77u);
-  EXPECT_STREQ (read.query.team, "t");
-  EXPECT_TRUE (read.query.idempotent);
-  EXPECT_EQ (read.query.body.length, 3u);
-  EXPECT_EQ (memcmp (read.query.body.data, "a\0b", 3), 0);
-  rst_message_clear (&read);
+  EXPECT_EQ (decoded.id, 77u);
+  EXPECT_STREQ (decoded.query.team, "t");
+  EXPECT_TRUE (decoded.query.idempotent);
+  EXPECT_EQ (decoded.query.body.length, 3u);
+  EXPECT_EQ (memcmp (decoded.query.body.data, "a\0b", 3), 0);
+  rst_message_clear (&decoded);
   rst_blob_free (&frame);
 }
 
 TEST (Message, DecodeRejectsMalformedFrames)
 {
   struct rst_message message = {};
-  struct rst_message read;
+  struct rst_message decoded;
   struct rst_blob frame;
   const char *field;
 
   message.type = RST_SETTINGS_DIGEST;
   ASSERT_EQ (rst_message_encode (&message, &frame), RST_PROTOCOL_OK);
   for (size_t length = 0; length < frame.length; length++)
-    EXPECT_NE (rst_message_decode (frame.data, length, &read, &field),
+    EXPECT_NE (rst_message_decode (frame.data, length, &decoded, &field),
                RST_PROTOCOL_OK);
   /* Byte 0 is the array's header.  Bytes 1 to 3 hold the version, type and
      request number, byte 4 the first field. */
   frame.data[1] = 9;
-  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
+  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &decoded, &field),
              RST_PROTOCOL_VERSION);
   frame.data[1] = 1;
   frame.data[2] = 99;
-  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
+  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &decoded, &field),
              RST_PROTOCOL_TYPE);
   frame.data[2] = RST_SETTINGS_DIGEST;
   frame.data[4] = (char)0xc3;
-  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
+  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &decoded, &field),
              RST_PROTOCOL_FIELD);
   EXPECT_STREQ (field, "hash");
   rst_blob_free (&frame);
