--- a/src/protocol/message.h
+++ b/src/protocol/message.h
@@ -68,8 +68,8 @@
  * @RST_TASK_END: Reports the end of a task to the owner of its job.
  * @RST_TASK_END_ACK: Confirms that the end is stored.
  * @RST_TASK_STOP: Asks a scheduler to stop a task.
- * @RST_ADOPTED: Tells the schedulers of the zone which runs the new owner of
- * an instance found there.
+ * @RST_ADOPTED: Tells the schedulers of the zone which runs the new owner
+ *   of an instance found there.
  * @RST_TASK_FIND: Asks a scheduler which tasks of a job its workers run.
  * @RST_TASK_FOUND: Reply to %RST_TASK_FIND: one message a task, then one that
  *   names no task and tells whether the list is complete.
--- a/src/protocol/platform.h
+++ b/src/protocol/platform.h
@@ -47,7 +47,7 @@
  */
 const char *rst_platform_result_name (int result);
 
-/** Expected revision of a write that is made whatever the present one is. */
+/** Expected revision that makes a write unconditional. */
 #define RST_ANY_REVISION (-1)
 
 /**
