--- a/src/cli/report.c
+++ b/src/cli/report.c
@@ -8,7 +8,8 @@
 #include "transport/http_sync.h"
 #include "transport/transport.h"
 
-/* Receives the status page of one scheduler, or NULL when it is silent. */
+/* Called with the status page of a scheduler, or NULL when it does not
+   answer. */
 typedef void (*status_visitor) (const struct rst_member *member,
                                 struct json_object *status, void *data);
 
@@ -45,7 +46,8 @@
 }
 
 static int
-visit_all (const struct cli_args *args, status_visitor visit, void *data)
+visit_schedulers (const struct cli_args *args, status_visitor visit,
+                  void *data)
 {
   struct json_object *items;
   int result = cli_store_list (args, RST_KEY_ZONE_RECORDS, &items);
@@ -68,7 +70,7 @@
 }
 
 static void
-print_problems (struct json_object *status)
+print_rejected_branches (struct json_object *status)
 {
   struct json_object *branches = rst_json_get_array (status, "branches");
 
@@ -79,7 +81,7 @@
       const char *problem = rst_json_get_text (branch, "problem");
 
       if (problem != NULL)
-        printf ("  refused %s revision %" G_GINT64_FORMAT ": %s\n",
+        printf ("  rejected %s revision %" G_GINT64_FORMAT ": %s\n",
                 rst_json_get_text (branch, "key"),
                 rst_json_get_number (branch, "refused_revision", 0), problem);
     }
@@ -127,14 +129,14 @@
   if (!rst_json_get_bool (status, "tenure_held", false)
       && missing_from != NULL)
     printf ("  promise missing from %s\n", missing_from);
-  print_problems (status);
+  print_rejected_branches (status);
   print_entries (status);
 }
 
 int
 cli_status (const struct cli_args *args)
 {
-  return visit_all (args, print_status, NULL);
+  return visit_schedulers (args, print_status, NULL);
 }
 
 struct team_usage
@@ -175,7 +177,7 @@
 {
   GHashTable *usage_by_team
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  int result = visit_all (args, add_team_usage, usage_by_team);
+  int result = visit_schedulers (args, add_team_usage, usage_by_team);
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
@@ -215,27 +217,28 @@
       if (g_strcmp0 (rst_json_get_text (job, "name"), job_search->name) != 0)
         continue;
       job_search->found = true;
-      printf ("job %s, followed by %s, is %s\n", job_search->name,
+      printf ("job %s, owned by %s, is %s\n", job_search->name,
               member->incarnation, rst_json_get_text (job, "state"));
-      printf ("  tasks %" G_GINT64_FORMAT ": running %" G_GINT64_FORMAT
-              ", waiting %" G_GINT64_FORMAT ", asked for %" G_GINT64_FORMAT
-              ", held %" G_GINT64_FORMAT ", looked for %" G_GINT64_FORMAT "\n",
-              rst_json_get_number (job, "tasks", 0),
-              rst_json_get_number (job, "running", 0),
-              rst_json_get_number (job, "waiting", 0),
-              rst_json_get_number (job, "asked", 0),
-              rst_json_get_number (job, "held", 0),
-              rst_json_get_number (job, "looked_for", 0));
+      printf (
+          "  tasks %" G_GINT64_FORMAT ": running %" G_GINT64_FORMAT
+          ", waiting %" G_GINT64_FORMAT ", start requested %" G_GINT64_FORMAT
+          ", reserved %" G_GINT64_FORMAT ", in doubt %" G_GINT64_FORMAT "\n",
+          rst_json_get_number (job, "tasks", 0),
+          rst_json_get_number (job, "running", 0),
+          rst_json_get_number (job, "waiting", 0),
+          rst_json_get_number (job, "asked", 0),
+          rst_json_get_number (job, "held", 0),
+          rst_json_get_number (job, "looked_for", 0));
       if (rst_json_get_text (job, "waiting_for")[0] != '\0')
-        printf ("  waits for: %s\n", rst_json_get_text (job, "waiting_for"));
+        printf ("  waiting for: %s\n", rst_json_get_text (job, "waiting_for"));
     }
 }
 
 int
 cli_why (const struct cli_args *args)
 {
-  struct job_search job_search = { args->words[0], false };
-  int result = visit_all (args, print_job, &job_search);
+  struct job_search job_search = { args->operands[0], false };
+  int result = visit_schedulers (args, print_job, &job_search);
 
   if (result == CLI_OK && !job_search.found)
     {
--- a/src/cli/teams.c
+++ b/src/cli/teams.c
@@ -9,12 +9,13 @@
 #include "state/settings.h"
 #include "util/conf.h"
 
-/** Length of a key's secret in bytes. */
+/** Length of a key's secret. */
 #define SECRET_BYTES 32
 
-/** Share of a new team. */
+/** Share of a new team when --share is absent. */
 #define DEFAULT_SHARE 1
 
+/* A change of a team.  The members about a key are set where it names one. */
 struct team_edit
 {
   const struct cli_args *args;
@@ -24,7 +25,7 @@
 };
 
 static char *
-build_team_key (const char *team)
+build_team_store_key (const char *team)
 {
   return g_strconcat (RST_KEY_TEAMS, team, NULL);
 }
@@ -42,8 +43,8 @@
 }
 
 static bool
-parse_existing (const struct team_edit *edit, const char *value,
-                struct rst_team *out)
+parse_existing_team (const struct team_edit *edit, const char *value,
+                     struct rst_team *out)
 {
   if (!parse_team (edit->name, value, out))
     return false;
@@ -85,7 +86,7 @@
   const struct team_edit *edit = data;
   struct rst_team team;
 
-  if (!parse_existing (edit, value, &team))
+  if (!parse_existing_team (edit, value, &team))
     return NULL;
   team.deleted = true;
   team.key_count = 0;
@@ -98,7 +99,7 @@
   const struct team_edit *edit = data;
   struct rst_team team;
 
-  if (!parse_existing (edit, value, &team))
+  if (!parse_existing_team (edit, value, &team))
     return NULL;
   if (team.key_count == RST_TEAM_KEYS_MAX)
     {
@@ -122,7 +123,7 @@
   const struct team_edit *edit = data;
   struct rst_team team;
 
-  if (!parse_existing (edit, value, &team))
+  if (!parse_existing_team (edit, value, &team))
     return NULL;
   for (int i = 0; i < team.key_count; i++)
     if (strcmp (team.keys[i].id, edit->key_id) == 0)
@@ -138,7 +139,7 @@
 static int
 update_team (struct team_edit *edit, cli_edit function)
 {
-  char *key = build_team_key (edit->name);
+  char *key = build_team_store_key (edit->name);
   uint64_t revision = 0;
   int result = cli_store_update (edit->args, key, function, edit, &revision);
 
@@ -151,7 +152,7 @@
 int
 cli_team_set (const struct cli_args *args)
 {
-  struct team_edit edit = { args, args->words[0], NULL, NULL };
+  struct team_edit edit = { args, args->operands[0], NULL, NULL };
 
   if (!rst_conf_is_name (edit.name))
     {
@@ -164,7 +165,7 @@
 int
 cli_team_delete (const struct cli_args *args)
 {
-  struct team_edit edit = { args, args->words[0], NULL, NULL };
+  struct team_edit edit = { args, args->operands[0], NULL, NULL };
 
   return update_team (&edit, edit_delete);
 }
@@ -176,7 +177,7 @@
   char id[RST_NAME_SIZE];
   char text[3 * RST_NAME_SIZE];
   struct rst_team_key key;
-  struct team_edit edit = { args, args->words[0], id, &key };
+  struct team_edit edit = { args, args->operands[0], id, &key };
   int result;
 
   if (args->id != NULL)
@@ -196,7 +197,7 @@
 int
 cli_key_withdraw (const struct cli_args *args)
 {
-  struct team_edit edit = { args, args->words[0], args->words[1], NULL };
+  struct team_edit edit = { args, args->operands[0], args->operands[1], NULL };
 
   return update_team (&edit, edit_withdraw);
 }
@@ -204,13 +205,13 @@
 int
 cli_key_list (const struct cli_args *args)
 {
-  char *key = build_team_key (args->words[0]);
+  char *key = build_team_store_key (args->operands[0]);
   char *value = NULL;
   uint64_t revision;
   struct rst_team team;
   int result = cli_store_get (args, key, &value, &revision);
 
-  if (result == CLI_OK && parse_team (args->words[0], value, &team))
+  if (result == CLI_OK && parse_team (args->operands[0], value, &team))
     for (int i = 0; i < team.key_count; i++)
       printf ("%s\n", team.keys[i].id);
   g_free (value);
--- a/src/protocol/platform_http.c
+++ b/src/protocol/platform_http.c
@@ -9,18 +9,19 @@
 #include "transport/http_client.h"
 #include "transport/transport.h"
 
-/** Bounds on open connections. */
+/** Largest numbers of open connections. */
 #define STORE_CONNECTIONS_MAX 8
 #define INSTANCE_CONNECTIONS_MAX 512
 #define CONNECTIONS_PER_INSTANCE_MAX 60
 
-/** Longest URL. */
+/** Size of a URL or path with the final NUL. */
 #define URL_SIZE_BYTES 512
 
-/** Most headers of a call. */
+/** Size of a call's NULL-terminated list of headers. */
 #define HEADERS_MAX 10
 
-/* How an answer's body is read. */
+/* How the body of a successful reply is parsed.  With BODY_NONE only its
+   revision is read; with BODY_RAW it is passed on as it is. */
 enum body_kind
 {
   BODY_NONE,
@@ -31,6 +32,7 @@
   BODY_RAW,
 };
 
+/* A call under way, and its reply once it has ended. */
 struct rst_platform_request
 {
   struct rst_platform_http *platform;
@@ -49,8 +51,7 @@
   struct rst_http_client *instance_client;
 };
 
-/* ---- Answers
- * ------------------------------------------------------------------- */
+/* ---- Replies ---------------------------------------------------------- */
 
 static void
 read_kv (struct json_object *item, struct rst_kv *out)
@@ -115,7 +116,7 @@
           = &reply->instances[reply->instance_count];
 
       read_instance (json_object_array_get_idx (list, i), info);
-      /* An entry without a name or address is of no use. */
+      /* An entry without a name or address can't be used and is dropped. */
       if (info->name[0] != '\0' && info->address[0] != '\0')
         reply->instance_count++;
     }
@@ -190,7 +191,8 @@
   json_object_put (root);
 }
 
-/* A store that refuses may still have done what was asked. */
+/* An error status other than these does not tell whether the store has made
+   the change, so the result is unknown. */
 static int
 map_store_status (int status)
 {
@@ -261,8 +263,7 @@
   g_free (request);
 }
 
-/* ---- Calls
- * ---------------------------------------------------------------------- */
+/* ---- Calls ------------------------------------------------------------ */
 
 static struct rst_platform_request *
 request_create (struct rst_platform_http *platform, enum body_kind kind,
@@ -433,34 +434,34 @@
 
 static void
 query_run (void *userdata, const char *address,
-           const struct rst_query_request *run, rst_platform_done done,
+           const struct rst_query_request *query, rst_platform_done done,
            void *data)
 {
   struct rst_platform_http *platform = userdata;
   struct rst_http_call call = { 0 };
   char url[URL_SIZE_BYTES];
   char headers[5][2 * RST_NAME_SIZE + 32];
-  const char *list[HEADERS_MAX] = { 0 };
+  const char *header_list[HEADERS_MAX] = { 0 };
 
   g_snprintf (url, sizeof url, "http://%s/v1/run", address);
-  g_snprintf (headers[0], sizeof headers[0], "X-Request-Id: %s", run->id);
-  g_snprintf (headers[1], sizeof headers[1], "X-Team: %s", run->team);
+  g_snprintf (headers[0], sizeof headers[0], "X-Request-Id: %s", query->id);
+  g_snprintf (headers[1], sizeof headers[1], "X-Team: %s", query->team);
   g_snprintf (headers[2], sizeof headers[2], "X-Epoch: %" G_GUINT64_FORMAT,
-              run->epoch);
+              query->epoch);
   g_snprintf (headers[3], sizeof headers[3], "X-Idempotent: %s",
-              run->idempotent ? "true" : "false");
+              query->idempotent ? "true" : "false");
   g_snprintf (headers[4], sizeof headers[4],
-              "X-Deadline-Ms: %" G_GINT64_FORMAT, run->deadline_ms);
+              "X-Deadline-Ms: %" G_GINT64_FORMAT, query->deadline_ms);
   for (int i = 0; i < 5; i++)
-    list[i] = headers[i];
+    header_list[i] = headers[i];
   call.method = "POST";
   call.url = url;
-  call.headers = list;
-  call.body = run->body != NULL ? run->body : "";
-  call.length = run->length;
-  call.timeout_ms = run->deadline_ms;
-  call.not_after = run->not_after;
-  call.new_connection = !run->idempotent;
+  call.headers = header_list;
+  call.body = query->body != NULL ? query->body : "";
+  call.length = query->length;
+  call.timeout_ms = query->deadline_ms;
+  call.not_after = query->not_after;
+  call.new_connection = !query->idempotent;
   send_call (platform->instance_client, &call,
              request_create (platform, BODY_RAW, false, done, data));
 }
@@ -531,15 +532,15 @@
 
 static void
 task_renew (void *userdata, const char *address, uint64_t epoch,
-            rst_ms lease_ms, const char *const *seen, rst_platform_done done,
-            void *data)
+            rst_ms lease_ms, const char *const *ended_ids,
+            rst_platform_done done, void *data)
 {
   struct rst_platform_http *platform = userdata;
   struct json_object *body = create_command_body (epoch);
   struct json_object *list = json_object_new_array ();
 
-  for (int i = 0; seen[i] != NULL; i++)
-    json_object_array_add (list, json_object_new_string (seen[i]));
+  for (int i = 0; ended_ids[i] != NULL; i++)
+    json_object_array_add (list, json_object_new_string (ended_ids[i]));
   rst_json_set_number (body, "lease_ms", lease_ms);
   json_object_object_add (body, "seen", list);
   send_instance_call (platform, address, "/v1/renew", body, 0,
--- a/src/state/settings.c
+++ b/src/state/settings.c
@@ -9,22 +9,23 @@
 #include "state/json.h"
 #include "util/conf.h"
 
-/** Default bound on a request's deadline. */
+/** Default of the longest deadline of a request. */
 #define DEFAULT_MAX_DEADLINE_MS 60000
 
-/** Default bound on a team's waiting queries at one scheduler. */
+/** Default of the largest number of queued queries of a team. */
 #define DEFAULT_MAX_QUEUED_PER_TEAM 512
 
-/** Length of a secret in bytes. */
+/** Length of a key's secret. */
 #define SECRET_BYTES 32
 
+/* The parsed branch of the zones. */
 struct zone_settings
 {
   int count;
   struct rst_zone_setting zones[RST_ZONES_MAX];
 };
 
-/* One branch; only the member for its kind is set. */
+/* A settings branch.  One of the last four members holds its parsed value. */
 struct branch
 {
   char *key;
@@ -42,7 +43,7 @@
 {
   GHashTable *branches;
   struct rst_cell_settings default_cell;
-  uint64_t newest;
+  uint64_t newest_revision;
 };
 
 static const struct rst_cell_settings cell_defaults
@@ -219,7 +220,7 @@
   append_problems (problems, prefix, item_problems->str);
   g_string_free (item_problems, TRUE);
   g_strlcpy (out->name, name, RST_NAME_SIZE);
-  out->out = strcmp (fields.state, "out") == 0;
+  out->out_of_service = strcmp (fields.state, "out") == 0;
   out->move_running = strcmp (fields.running, "move") == 0;
   return valid;
 }
@@ -311,7 +312,7 @@
   return RST_STATE_INVALID;
 }
 
-/* Parses a value into the members of an otherwise empty branch. */
+/* Parses and checks a value into the member for its kind of branch. */
 static int
 parse_branch (struct branch *branch, const char *key, uint64_t revision,
               const char *value, GString *problems)
@@ -421,7 +422,7 @@
       return RST_STATE_INVALID;
     }
   apply_parsed (find_or_add_branch (settings, key), &parsed, revision, value);
-  settings->newest = MAX (settings->newest, revision);
+  settings->newest_revision = MAX (settings->newest_revision, revision);
   return RST_STATE_OK;
 }
 
@@ -467,7 +468,7 @@
   const struct rst_zone_setting *setting
       = rst_settings_find_zone (settings, zone);
 
-  return setting != NULL && setting->out;
+  return setting != NULL && setting->out_of_service;
 }
 
 const struct rst_cell_settings *
@@ -551,7 +552,7 @@
     {
       const struct branch *branch = value;
 
-      /* The sum does not depend on the order of the branches. */
+      /* A sum does not depend on the order of the branches. */
       if (branch->revision > 0)
         hash += XXH3_64bits_withSeed (branch->key, strlen (branch->key),
                                       branch->revision);
@@ -562,7 +563,7 @@
 uint64_t
 rst_settings_get_newest_revision (const struct rst_settings *settings)
 {
-  return settings->newest;
+  return settings->newest_revision;
 }
 
 uint64_t
--- a/test/unit/state_test.cc
+++ b/test/unit/state_test.cc
@@ -1,5 +1,6 @@
 /**
- * DOC: state_test - settings, keys, jobs, messages and settings files
+ * DOC: state_test - tests of settings, API keys, job records, messages and
+ * settings files
  */
 #include <cstdlib>
 #include <cstring>
@@ -47,7 +48,7 @@
   GString *problems;
 };
 
-TEST_F (Settings, NeverGoBack)
+TEST_F (Settings, IgnoreOlderRevisions)
 {
   EXPECT_EQ (apply ("settings/teams/t", 5, "{\"share\":2}"), RST_STATE_OK);
   EXPECT_EQ (apply ("settings/teams/t", 4, "{\"share\":9}"), RST_STATE_STALE);
@@ -55,9 +56,9 @@
   EXPECT_EQ (rst_settings_get_newest_revision (settings), 5u);
 }
 
-TEST_F (Settings, AnUnsoundBranchIsRefusedAsAWhole)
+TEST_F (Settings, RejectAnInvalidBranchAsAWhole)
 {
-  uint64_t refused = 0;
+  uint64_t rejected = 0;
 
   ASSERT_EQ (apply ("settings/teams/t", 5, "{\"share\":2}"), RST_STATE_OK);
   EXPECT_EQ (apply ("settings/teams/t", 6,
@@ -66,15 +67,17 @@
   EXPECT_STREQ (problems->str, "colour: unknown field\n"
                                "upper_limit: must be a whole number\n");
   EXPECT_EQ (rst_settings_find_team (settings, "t")->share, 2u);
-  EXPECT_NE (rst_settings_get_problem (settings, "settings/teams/t", &refused),
-             nullptr);
-  EXPECT_EQ (refused, 6u);
+  EXPECT_NE (
+      rst_settings_get_problem (settings, "settings/teams/t", &rejected),
+      nullptr);
+  EXPECT_EQ (rejected, 6u);
   EXPECT_EQ (apply ("settings/teams/t", 7, "{\"share\":4}"), RST_STATE_OK);
-  EXPECT_EQ (rst_settings_get_problem (settings, "settings/teams/t", &refused),
-             nullptr);
+  EXPECT_EQ (
+      rst_settings_get_problem (settings, "settings/teams/t", &rejected),
+      nullptr);
 }
 
-TEST_F (Settings, NameTheFieldThatIsWrong)
+TEST_F (Settings, NameTheInvalidField)
 {
   EXPECT_EQ (apply ("settings/zones", 1, "{\"z1\":{\"state\":\"gone\"}}"),
              RST_STATE_INVALID);
@@ -88,7 +91,7 @@
   EXPECT_STREQ (problems->str, "(key): no such branch\n");
 }
 
-TEST_F (Settings, ZonesAreTakenOutAndBroughtBack)
+TEST_F (Settings, TakeAZoneOutAndBringItBack)
 {
   apply ("settings/zones", 1, "{\"z1\":{\"state\":\"out\"}}");
   EXPECT_TRUE (rst_settings_is_zone_out (settings, "z1"));
@@ -97,7 +100,7 @@
   EXPECT_FALSE (rst_settings_is_zone_out (settings, "z1"));
 }
 
-TEST_F (Settings, TheHashDoesNotDependOnTheOrder)
+TEST_F (Settings, HashDoesNotDependOnOrder)
 {
   struct rst_settings *other = rst_settings_create ();
 
@@ -110,7 +113,7 @@
   rst_settings_destroy (other);
 }
 
-TEST_F (Settings, AKeyOpensItsTeamUntilItIsWithdrawn)
+TEST_F (Settings, KeyIdentifiesItsTeamUntilWithdrawn)
 {
   struct rst_team team = {};
   struct rst_team_key stored;
@@ -139,7 +142,7 @@
   EXPECT_EQ (rst_settings_find_team_by_key (settings, key), nullptr);
 }
 
-TEST (Job, NamesWhatIsWrong)
+TEST (Job, NamesTheInvalidField)
 {
   struct rst_job_spec spec;
   char id[RST_NAME_SIZE];
@@ -161,10 +164,10 @@
   g_string_free (problems, TRUE);
 }
 
-TEST (Job, TheRecordSurvivesItsJson)
+TEST (Job, RecordIsUnchangedByFormatAndParse)
 {
   struct rst_job_record record = {};
-  struct rst_job_record read;
+  struct rst_job_record decoded;
   char *text;
 
   strcpy (record.name, "t/j");
@@ -174,22 +177,22 @@
   record.start_intent = 2;
   record.task_outcomes = g_strdup ("d.u.");
   text = rst_job_record_format (&record);
-  ASSERT_EQ (rst_job_record_parse (text, 8, &read), RST_STATE_OK);
-  EXPECT_STREQ (read.task_outcomes, "d.u.");
-  EXPECT_EQ (read.generation, 3u);
-  EXPECT_EQ (read.start_intent, 2);
-  EXPECT_FALSE (rst_job_record_is_finished (&read));
-  EXPECT_STREQ (rst_job_record_get_state (&read), "running");
+  ASSERT_EQ (rst_job_record_parse (text, 8, &decoded), RST_STATE_OK);
+  EXPECT_STREQ (decoded.task_outcomes, "d.u.");
+  EXPECT_EQ (decoded.generation, 3u);
+  EXPECT_EQ (decoded.start_intent, 2);
+  EXPECT_FALSE (rst_job_record_is_finished (&decoded));
+  EXPECT_STREQ (rst_job_record_get_state (&decoded), "running");
   free (text);
   rst_job_record_clear (&record);
-  rst_job_record_clear (&read);
-  EXPECT_EQ (rst_job_record_parse ("{}", 1, &read), RST_STATE_INVALID);
+  rst_job_record_clear (&decoded);
+  EXPECT_EQ (rst_job_record_parse ("{}", 1, &decoded), RST_STATE_INVALID);
 }
 
-TEST (Message, SurvivesItsFrame)
+TEST (Message, IsUnchangedByEncodeAndDecode)
 {
   struct rst_message message = {};
-  struct rst_message read;
+  struct rst_message decoded;
   struct rst_blob frame;
   const char *field;
 
@@ -202,40 +205,41 @@
   message.query.body.data = (char *)"a\0b";
   message.query.body.length = 3;
   ASSERT_EQ (rst_message_encode (&message, &frame), RST_PROTOCOL_OK);
-  ASSERT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
+  ASSERT_EQ (rst_message_decode (frame.data, frame.length, &decoded, &field),
              RST_PROTOCOL_OK);
-  EXPECT_EQ (read.id, 77u);
-  EXPECT_STREQ (read.query.team, "t");
-  EXPECT_TRUE (read.query.idempotent);
-  EXPECT_EQ (read.query.body.length, 3u);
-  EXPECT_EQ (memcmp (read.query.body.data, "a\0b", 3), 0);
-  rst_message_clear (&read);
+  EXPECT_EQ (decoded.id, 77u);
+  EXPECT_STREQ (decoded.query.team, "t");
+  EXPECT_TRUE (decoded.query.idempotent);
+  EXPECT_EQ (decoded.query.body.length, 3u);
+  EXPECT_EQ (memcmp (decoded.query.body.data, "a\0b", 3), 0);
+  rst_message_clear (&decoded);
   rst_blob_free (&frame);
 }
 
-TEST (Message, RefusesWhatIsMalformed)
+TEST (Message, DecodeRejectsMalformedFrames)
 {
   struct rst_message message = {};
-  struct rst_message read;
+  struct rst_message decoded;
   struct rst_blob frame;
   const char *field;
 
   message.type = RST_SETTINGS_DIGEST;
   ASSERT_EQ (rst_message_encode (&message, &frame), RST_PROTOCOL_OK);
   for (size_t length = 0; length < frame.length; length++)
-    EXPECT_NE (rst_message_decode (frame.data, length, &read, &field),
+    EXPECT_NE (rst_message_decode (frame.data, length, &decoded, &field),
                RST_PROTOCOL_OK);
-  /* Element 1 of the array is the version, element 2 the type. */
+  /* Byte 0 is the array's header.  Bytes 1 to 3 hold the version, type and
+     request number, byte 4 the first field. */
   frame.data[1] = 9;
-  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
+  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &decoded, &field),
              RST_PROTOCOL_VERSION);
   frame.data[1] = 1;
   frame.data[2] = 99;
-  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
+  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &decoded, &field),
              RST_PROTOCOL_TYPE);
   frame.data[2] = RST_SETTINGS_DIGEST;
   frame.data[4] = (char)0xc3;
-  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &read, &field),
+  EXPECT_EQ (rst_message_decode (frame.data, frame.length, &decoded, &field),
              RST_PROTOCOL_FIELD);
   EXPECT_STREQ (field, "hash");
   rst_blob_free (&frame);
