--- a/standin/fleet.c
+++ b/standin/fleet.c
@@ -35,7 +35,7 @@
 {
   char zone[RST_NAME_SIZE];
   char host[RST_NAME_SIZE];
-  char control[RST_ADDRESS_SIZE];
+  char control_address[RST_ADDRESS_SIZE];
   char list_address[RST_ADDRESS_SIZE];
   int64_t runner_count;
   int64_t slots;
@@ -54,7 +54,7 @@
                          struct settings, zone),
   RST_CONF_STRING_FIELD ("host", RST_CONF_STRING, true, struct settings, host),
   RST_CONF_STRING_FIELD ("control", RST_CONF_ADDRESS, true, struct settings,
-                         control),
+                         control_address),
   RST_CONF_STRING_FIELD ("list.address", RST_CONF_ADDRESS, true,
                          struct settings, list_address),
   RST_CONF_INTEGER_FIELD ("runners.count", false, struct settings,
@@ -112,7 +112,7 @@
   rst_ms started_at;
   rst_ms ends_at;
   rst_ms lease_expires_at;
-  int64_t speed_percent;
+  int64_t pace_percent;
 };
 
 struct instance
@@ -134,11 +134,11 @@
   pthread_mutex_t lock;
   struct settings settings;
   struct instance *instances;
-  int count;
-  struct rst_http_server *control;
+  int instance_count;
+  struct rst_http_server *server;
   GHashTable *executed_ids;
-  GHashTable *task_start_counts;
-  int64_t runs;
+  GHashTable *task_starts;
+  int64_t query_run_count;
   int64_t overcommit_count;
   int64_t duplicate_runs;
   int64_t fenced_calls;
@@ -147,11 +147,8 @@
   atomic_bool stop_requested;
 } fleet = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
-/* ---- Runners
- * ------------------------------------------------------------------- */
-
 static bool
-epoch_is_stale (struct instance *instance, uint64_t epoch)
+is_fenced (struct instance *instance, uint64_t epoch)
 {
   if (epoch < instance->epoch)
     {
@@ -165,7 +162,7 @@
 static void
 record_query_run (const char *id, bool idempotent)
 {
-  fleet.runs++;
+  fleet.query_run_count++;
   if (idempotent)
     return;
   if (!g_hash_table_add (fleet.executed_ids, g_strdup (id)))
@@ -194,7 +191,7 @@
 
   if (epoch == NULL || id == NULL || team == NULL)
     rst_http_request_reply_json (request, 400, "{}");
-  else if (epoch_is_stale (instance, g_ascii_strtoull (epoch, NULL, 10)))
+  else if (is_fenced (instance, g_ascii_strtoull (epoch, NULL, 10)))
     rst_http_request_reply_json (request, 412, "{}");
   else if (instance->fault == FAULT_FAIL)
     rst_http_request_reply_json (request, 503, "{}");
@@ -251,9 +248,6 @@
     }
 }
 
-/* ---- Workers
- * -------------------------------------------------------------------- */
-
 static void
 task_free (gpointer data)
 {
@@ -271,7 +265,7 @@
 }
 
 static int64_t
-get_allocated (const struct instance *instance, const char *resource)
+sum_used (const struct instance *instance, const char *resource)
 {
   int64_t sum = 0;
   GHashTableIter iterator;
@@ -287,10 +281,9 @@
 static void
 count_overcommit (const struct instance *instance)
 {
-  if (get_allocated (instance, "cpu_milli") > fleet.settings.cpu_milli
-      || get_allocated (instance, "memory_mb") > fleet.settings.memory_mb
-      || get_allocated (instance, "accelerators")
-             > fleet.settings.accelerators)
+  if (sum_used (instance, "cpu_milli") > fleet.settings.cpu_milli
+      || sum_used (instance, "memory_mb") > fleet.settings.memory_mb
+      || sum_used (instance, "accelerators") > fleet.settings.accelerators)
     fleet.overcommit_count++;
 }
 
@@ -300,17 +293,14 @@
   char *key = g_strdup_printf ("%s.%" G_GINT64_FORMAT,
                                rst_json_get_text (spec, "job"),
                                rst_json_get_number (spec, "index", 0));
-  int count
-      = GPOINTER_TO_INT (g_hash_table_lookup (fleet.task_start_counts, key));
+  int count = GPOINTER_TO_INT (g_hash_table_lookup (fleet.task_starts, key));
 
-  g_hash_table_insert (fleet.task_start_counts, key,
-                       GINT_TO_POINTER (count + 1));
+  g_hash_table_insert (fleet.task_starts, key, GINT_TO_POINTER (count + 1));
   fleet.started_tasks++;
 }
 
 static void
-start_task (struct instance *instance, const char *id,
-            struct json_object *body)
+add_task (struct instance *instance, const char *id, struct json_object *body)
 {
   struct task *task = g_new0 (struct task, 1);
   rst_ms now = rst_os_now ();
@@ -322,7 +312,7 @@
   task->started_at = now;
   task->ends_at = run_ms > 0 ? now + run_ms : INT64_MAX;
   task->lease_expires_at = now + rst_json_get_number (body, "lease_ms", 1000);
-  task->speed_percent = 100;
+  task->pace_percent = 100;
   if (instance->fault == FAULT_FAIL)
     task->ends_at = now;
   g_hash_table_insert (instance->tasks, task->id, task);
@@ -343,7 +333,7 @@
   else
     {
       if (!g_hash_table_contains (instance->tasks, id))
-        start_task (instance, id, body);
+        add_task (instance, id, body);
       rst_http_request_reply_json (request, 200, "{}");
     }
 }
@@ -423,7 +413,7 @@
               struct json_object *body)
 {
   struct json_object *seen = rst_json_get_array (body, "seen");
-  rst_ms until = rst_os_now () + rst_json_get_number (body, "lease_ms", 0);
+  rst_ms expiry = rst_os_now () + rst_json_get_number (body, "lease_ms", 0);
   GHashTableIter iterator;
   gpointer value;
 
@@ -433,7 +423,7 @@
         json_object_get_string (json_object_array_get_idx (seen, i)));
   g_hash_table_iter_init (&iterator, instance->tasks);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
-    ((struct task *)value)->lease_expires_at = until;
+    ((struct task *)value)->lease_expires_at = expiry;
   reply_runs (instance, request, NULL);
 }
 
@@ -483,9 +473,8 @@
       return;
     }
   if (task->ends_at != INT64_MAX)
-    task->ends_at
-        = now + (task->ends_at - now) * task->speed_percent / percent;
-  task->speed_percent = percent;
+    task->ends_at = now + (task->ends_at - now) * task->pace_percent / percent;
+  task->pace_percent = percent;
   rst_http_request_reply_json (request, 200, "{}");
 }
 
@@ -515,9 +504,6 @@
     }
 }
 
-/* ---- Requests
- * --------------------------------------------------------------------- */
-
 static void
 handle_command (struct instance *instance, struct rst_http_request *request)
 {
@@ -526,7 +512,7 @@
       = rst_json_parse (rst_http_request_body (request, NULL));
   uint64_t epoch = (uint64_t)rst_json_get_number (body, "epoch", 0);
 
-  if (epoch_is_stale (instance, epoch))
+  if (is_fenced (instance, epoch))
     rst_http_request_reply_json (request, 412, "{}");
   else if (strcmp (path, "/v1/inspect") == 0)
     reply_runs (instance, request, NULL);
@@ -568,13 +554,13 @@
   gpointer value;
   char *text;
 
-  rst_json_set_number (root, "runs", fleet.runs);
+  rst_json_set_number (root, "runs", fleet.query_run_count);
   rst_json_set_number (root, "overcommitted", fleet.overcommit_count);
   rst_json_set_number (root, "doubled", fleet.duplicate_runs);
   rst_json_set_number (root, "fenced", fleet.fenced_calls);
   rst_json_set_number (root, "started_tasks", fleet.started_tasks);
   rst_json_set_number (root, "ended_tasks", fleet.ended_tasks);
-  g_hash_table_iter_init (&iterator, fleet.task_start_counts);
+  g_hash_table_iter_init (&iterator, fleet.task_starts);
   while (g_hash_table_iter_next (&iterator, &key, &value))
     rst_json_set_number (starts, key, GPOINTER_TO_INT (value));
   json_object_object_add (root, "task_starts", starts);
@@ -604,7 +590,7 @@
   const char *name = rst_http_request_query (request, "name");
   const char *mode = rst_http_request_query (request, "mode");
 
-  for (int i = 0; i < fleet.count; i++)
+  for (int i = 0; i < fleet.instance_count; i++)
     if (g_strcmp0 (fleet.instances[i].name, name) == 0)
       fleet.instances[i].fault = g_strcmp0 (mode, "fail") == 0 ? FAULT_FAIL
                                  : g_strcmp0 (mode, "silent") == 0
@@ -614,7 +600,7 @@
 }
 
 static void
-handle_control_request (struct rst_http_request *request, void *userdata)
+handle_control (struct rst_http_request *request, void *userdata)
 {
   const char *path = rst_http_request_path (request);
 
@@ -632,14 +618,14 @@
 }
 
 static void *
-tick_main (void *userdata)
+run_loop (void *userdata)
 {
   while (!atomic_load (&fleet.stop_requested))
     {
       rst_ms now = rst_os_now ();
 
       pthread_mutex_lock (&fleet.lock);
-      for (int i = 0; i < fleet.count; i++)
+      for (int i = 0; i < fleet.instance_count; i++)
         {
           finish_due_runs (&fleet.instances[i], now);
           finish_due_tasks (&fleet.instances[i], now);
@@ -650,10 +636,6 @@
   return userdata;
 }
 
-/* ---- Start
- * -----------------------------------------------------------------------------
- */
-
 static bool
 start_instance (struct instance *instance, bool is_worker, int number)
 {
@@ -715,7 +697,7 @@
   int status = 0;
   int error;
 
-  for (int i = 0; i < fleet.count; i++)
+  for (int i = 0; i < fleet.instance_count; i++)
     json_object_array_add (list, instance_to_json (&fleet.instances[i]));
   text = rst_json_format_and_release (list);
   g_snprintf (url, sizeof url, "http://%s/v1/instances",
@@ -730,24 +712,24 @@
 static bool
 start_servers (void)
 {
-  struct rst_http_server_config control = { 0 };
+  struct rst_http_server_config config = { 0 };
   int runner_count = (int)fleet.settings.runner_count;
   int worker_count = (int)fleet.settings.worker_count;
 
   fleet.instances = g_new0 (struct instance,
                             (gsize)runner_count + (gsize)worker_count + 1);
   for (int i = 0; i < runner_count; i++)
-    if (!start_instance (&fleet.instances[fleet.count++], false, i))
+    if (!start_instance (&fleet.instances[fleet.instance_count++], false, i))
       return false;
   for (int i = 0; i < worker_count; i++)
-    if (!start_instance (&fleet.instances[fleet.count++], true, i))
+    if (!start_instance (&fleet.instances[fleet.instance_count++], true, i))
       return false;
-  control.address = fleet.settings.control;
-  control.max_body_bytes = BODY_MAX_BYTES;
-  control.max_connections = 64;
-  control.idle_timeout_s = 60;
-  control.handler = handle_control_request;
-  return rst_http_server_create (&control, &fleet.control) == RST_TRANSPORT_OK;
+  config.address = fleet.settings.control_address;
+  config.max_body_bytes = BODY_MAX_BYTES;
+  config.max_connections = 64;
+  config.idle_timeout_s = 60;
+  config.handler = handle_control;
+  return rst_http_server_create (&config, &fleet.server) == RST_TRANSPORT_OK;
 }
 
 int
@@ -769,10 +751,9 @@
   rst_os_block_signals ();
   fleet.executed_ids
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  fleet.task_start_counts
+  fleet.task_starts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  if (!start_servers ()
-      || pthread_create (&thread, NULL, tick_main, NULL) != 0)
+  if (!start_servers () || pthread_create (&thread, NULL, run_loop, NULL) != 0)
     {
       fprintf (stderr, "%s: host: address cannot be used\n", program.name);
       return EXIT_FAILURE;
@@ -782,13 +763,13 @@
       fprintf (stderr, "%s: list.address: cannot be reached\n", program.name);
       return EXIT_FAILURE;
     }
-  printf ("ready http=%s\n", rst_http_server_address (fleet.control));
+  printf ("ready http=%s\n", rst_http_server_address (fleet.server));
   fflush (stdout);
   rst_os_wait_stop_signal ();
   atomic_store (&fleet.stop_requested, true);
   pthread_join (thread, NULL);
-  for (int i = 0; i < fleet.count; i++)
+  for (int i = 0; i < fleet.instance_count; i++)
     rst_http_server_destroy (fleet.instances[i].server);
-  rst_http_server_destroy (fleet.control);
+  rst_http_server_destroy (fleet.server);
   return EXIT_SUCCESS;
 }
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -33,7 +33,7 @@
 struct settings
 {
   char listen[RST_ADDRESS_SIZE];
-  int64_t instances;
+  int64_t instance_count;
   int64_t cpu_milli;
   int64_t memory_mb;
 };
@@ -41,8 +41,8 @@
 static const struct rst_conf_field fields[] = {
   RST_CONF_STRING_FIELD ("listen", RST_CONF_ADDRESS, true, struct settings,
                          listen),
-  RST_CONF_INTEGER_FIELD ("instances.count", false, struct settings, instances,
-                          1, 100),
+  RST_CONF_INTEGER_FIELD ("instances.count", false, struct settings,
+                          instance_count, 1, 100),
   RST_CONF_INTEGER_FIELD ("instances.cpu_milli", false, struct settings,
                           cpu_milli, 1, 1000000),
   RST_CONF_INTEGER_FIELD ("instances.memory_mb", false, struct settings,
@@ -77,7 +77,7 @@
 struct long_poll
 {
   struct rst_http_request *request;
-  rst_ms until;
+  rst_ms deadline;
 };
 
 struct instance
@@ -89,7 +89,7 @@
   int64_t lease_expires_at;
   int64_t next_end_number;
   GHashTable *runs;
-  GHashTable *highest;
+  GHashTable *highest_attempts;
   GQueue ended_runs;
   GPtrArray *long_polls;
 };
@@ -102,9 +102,9 @@
   /* Names of tasks whose end "done" was listed. */
   GHashTable *done_tasks;
   int64_t done_count;
-  int64_t twice;
+  int64_t duplicate_starts;
   int64_t advice_calls;
-  atomic_bool stop;
+  atomic_bool stop_requested;
 } platform = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
 static void
@@ -207,7 +207,7 @@
     }
   long_poll = g_new0 (struct long_poll, 1);
   long_poll->request = request;
-  long_poll->until
+  long_poll->deadline
       = rst_os_now () + rst_json_get_number (params, "wait_ms", 0);
   g_ptr_array_add (instance->long_polls, long_poll);
 }
@@ -216,30 +216,31 @@
 static void
 count_duplicate_start (const char *task)
 {
-  bool twice = g_hash_table_contains (platform.done_tasks, task);
+  bool is_duplicate = g_hash_table_contains (platform.done_tasks, task);
 
   for (guint i = 0; i < platform.instances->len; i++)
     {
       const struct instance *other = g_ptr_array_index (platform.instances, i);
 
-      twice |= g_hash_table_contains (other->runs, task);
+      is_duplicate |= g_hash_table_contains (other->runs, task);
     }
-  if (twice)
-    platform.twice++;
+  if (is_duplicate)
+    platform.duplicate_starts++;
 }
 
 static int64_t
-highest (const struct instance *instance, const char *task)
+get_highest_attempt (const struct instance *instance, const char *task)
 {
-  return GPOINTER_TO_INT (g_hash_table_lookup (instance->highest, task));
+  return GPOINTER_TO_INT (
+      g_hash_table_lookup (instance->highest_attempts, task));
 }
 
 static void
 raise_highest_attempt (struct instance *instance, const char *task,
                        int64_t attempt)
 {
-  if (attempt > highest (instance, task))
-    g_hash_table_replace (instance->highest, g_strdup (task),
+  if (attempt > get_highest_attempt (instance, task))
+    g_hash_table_replace (instance->highest_attempts, g_strdup (task),
                           GINT_TO_POINTER ((int)attempt));
 }
 
@@ -258,7 +259,7 @@
       platform_store_reply (request, 200, create_answer (instance));
       return;
     }
-  if (existing != NULL || attempt <= highest (instance, task))
+  if (existing != NULL || attempt <= get_highest_attempt (instance, task))
     {
       reject (instance, request, "old");
       return;
@@ -278,8 +279,8 @@
 }
 
 static void
-stop (struct instance *instance, struct rst_http_request *request,
-      struct json_object *params)
+handle_stop (struct instance *instance, struct rst_http_request *request,
+             struct json_object *params)
 {
   const char *task = rst_json_get_text (params, "task");
   int64_t attempt = rst_json_get_number (params, "attempt", 0);
@@ -300,7 +301,7 @@
 {
   const char *path = rst_http_request_path (request);
   int64_t fencing_token = rst_json_get_number (params, "fencing_token", 0);
-  int64_t until = rst_json_get_number (params, "deadline_ms", 0);
+  int64_t lease_deadline = rst_json_get_number (params, "deadline_ms", 0);
 
   if (fencing_token < instance->fencing_token)
     {
@@ -308,8 +309,9 @@
       return;
     }
   instance->fencing_token = fencing_token;
-  instance->lease_expires_at = MAX (instance->lease_expires_at,
-                                    MIN (until, rst_os_now () + LEASE_MAX_MS));
+  instance->lease_expires_at
+      = MAX (instance->lease_expires_at,
+             MIN (lease_deadline, rst_os_now () + LEASE_MAX_MS));
   if (strcmp (path, "/-/hold") == 0)
     handle_hold (instance, request, params);
   else if (rst_json_get_text (params, "task") == NULL)
@@ -318,7 +320,7 @@
   else if (strcmp (path, "/-/run-start") == 0)
     handle_start (instance, request, params);
   else if (strcmp (path, "/-/run-stop") == 0)
-    stop (instance, request, params);
+    handle_stop (instance, request, params);
   else
     rst_http_request_reply_json (request, 404, "{\"error\":\"no such call\"}");
 }
@@ -391,7 +393,7 @@
       struct long_poll *long_poll
           = g_ptr_array_index (instance->long_polls, i);
 
-      if (instance->ended_runs.length == 0 && now < long_poll->until)
+      if (instance->ended_runs.length == 0 && now < long_poll->deadline)
         continue;
       reply_run_lists (instance, long_poll->request);
       g_ptr_array_remove_index_fast (instance->long_polls, i);
@@ -399,10 +401,10 @@
 }
 
 static void *
-tick_main (void *userdata)
+run_loop (void *userdata)
 {
   (void)userdata;
-  while (!atomic_load (&platform.stop))
+  while (!atomic_load (&platform.stop_requested))
     {
       rst_ms now = rst_os_now ();
 
@@ -454,7 +456,7 @@
 
   pthread_mutex_lock (&platform.lock);
   rst_json_set_number (body, "done", platform.done_count);
-  rst_json_set_number (body, "twice", platform.twice);
+  rst_json_set_number (body, "twice", platform.duplicate_starts);
   rst_json_set_number (body, "advice_calls", platform.advice_calls);
   pthread_mutex_unlock (&platform.lock);
   platform_store_reply (request, 200, body);
@@ -506,7 +508,7 @@
   instance->next_end_number = 1;
   instance->runs
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, run_free);
-  instance->highest
+  instance->highest_attempts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   instance->long_polls = g_ptr_array_new_with_free_func (g_free);
   g_queue_init (&instance->ended_runs);
@@ -546,11 +548,11 @@
   config.idle_timeout_s = 120;
   config.handler = handle_request;
   pthread_mutex_lock (&platform.lock);
-  for (int i = 0; started && i < settings.instances; i++)
+  for (int i = 0; started && i < settings.instance_count; i++)
     started = start_instance (&settings, i);
   pthread_mutex_unlock (&platform.lock);
   if (!started || rst_http_server_create (&config, &server) != RST_TRANSPORT_OK
-      || pthread_create (&thread, NULL, tick_main, NULL) != 0)
+      || pthread_create (&thread, NULL, run_loop, NULL) != 0)
     {
       fprintf (stderr, "%s: listen: address cannot be used\n", program.name);
       return EXIT_FAILURE;
@@ -558,7 +560,7 @@
   printf ("ready http=%s\n", rst_http_server_address (server));
   fflush (stdout);
   rst_os_wait_stop_signal ();
-  atomic_store (&platform.stop, true);
+  atomic_store (&platform.stop_requested, true);
   pthread_join (thread, NULL);
   rst_http_server_destroy (server);
   return EXIT_SUCCESS;
--- a/standin/platform_store.c
+++ b/standin/platform_store.c
@@ -172,7 +172,7 @@
 }
 
 static void
-change (struct platform_store *store, const char *key, const char *value)
+write_key (struct platform_store *store, const char *key, const char *value)
 {
   struct item *item = item_new (key, value, store->revision);
 
@@ -198,7 +198,7 @@
 
   pthread_mutex_lock (&store->lock);
   store->revision++;
-  change (store, key, value);
+  write_key (store, key, value);
   answer_watches (store);
   pthread_mutex_unlock (&store->lock);
   g_free (value);
@@ -357,13 +357,13 @@
     {
       struct json_object *row = json_object_array_get_idx (writes, i);
 
-      change (store, rst_json_get_text (row, "key"),
-              rst_json_get_text (row, "value"));
+      write_key (store, rst_json_get_text (row, "key"),
+                 rst_json_get_text (row, "value"));
     }
   for (size_t i = 0; i < get_array_length (removed); i++)
-    change (store,
-            json_object_get_string (json_object_array_get_idx (removed, i)),
-            NULL);
+    write_key (store,
+               json_object_get_string (json_object_array_get_idx (removed, i)),
+               NULL);
 }
 
 static void
--- a/standin/store.c
+++ b/standin/store.c
@@ -80,13 +80,13 @@
 };
 
 /* An answer that is delayed. */
-struct delayed
+struct delayed_reply
 {
   struct rst_http_request *request;
   unsigned status;
   char *text;
   rst_ms send_at;
-  CK_LIST_ENTRY (delayed) entry;
+  CK_LIST_ENTRY (delayed_reply) entry;
 };
 
 static struct
@@ -104,7 +104,7 @@
   uint64_t write_count;
   uint64_t watch_count;
   CK_LIST_HEAD (watch_list, watch) pending_watches;
-  CK_LIST_HEAD (delayed_list, delayed) delayed;
+  CK_LIST_HEAD (delayed_reply_list, delayed_reply) delayed_replies;
   atomic_bool stop_requested;
 } store = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
@@ -134,7 +134,7 @@
 static void
 send_reply (struct rst_http_request *request, unsigned status, char *text)
 {
-  struct delayed *delayed;
+  struct delayed_reply *delayed_reply;
 
   if (store.reply_delay_ms == 0)
     {
@@ -142,12 +142,12 @@
       free (text);
       return;
     }
-  delayed = g_new0 (struct delayed, 1);
-  delayed->request = request;
-  delayed->status = status;
-  delayed->text = text;
-  delayed->send_at = rst_os_now () + store.reply_delay_ms;
-  CK_LIST_INSERT_HEAD (&store.delayed, delayed, entry);
+  delayed_reply = g_new0 (struct delayed_reply, 1);
+  delayed_reply->request = request;
+  delayed_reply->status = status;
+  delayed_reply->text = text;
+  delayed_reply->send_at = rst_os_now () + store.reply_delay_ms;
+  CK_LIST_INSERT_HEAD (&store.delayed_replies, delayed_reply, entry);
 }
 
 static void
@@ -447,17 +447,17 @@
 static void
 end_lease (uint64_t id)
 {
-  GList *all = g_hash_table_get_values (store.entries);
+  GList *entries = g_hash_table_get_values (store.entries);
 
   g_hash_table_remove (store.leases, &id);
-  for (GList *item = all; item != NULL; item = item->next)
+  for (GList *item = entries; item != NULL; item = item->next)
     {
       const struct entry *entry = item->data;
 
       if (entry->lease == id)
         remove_key (entry->key);
     }
-  g_list_free (all);
+  g_list_free (entries);
 }
 
 static void
@@ -500,16 +500,16 @@
 expire_leases (void)
 {
   rst_ms now = rst_os_now ();
-  GList *all = g_hash_table_get_values (store.leases);
+  GList *leases = g_hash_table_get_values (store.leases);
 
-  for (GList *item = all; item != NULL; item = item->next)
+  for (GList *item = leases; item != NULL; item = item->next)
     {
       const struct lease *lease = item->data;
 
       if (now >= lease->expires_at)
         end_lease (lease->id);
     }
-  g_list_free (all);
+  g_list_free (leases);
 }
 
 /* ---- Faults and figures
@@ -580,36 +580,37 @@
 }
 
 static void
-send_delayed (void)
+send_delayed_replies (void)
 {
-  struct delayed *delayed = CK_LIST_FIRST (&store.delayed);
+  struct delayed_reply *delayed_reply = CK_LIST_FIRST (&store.delayed_replies);
   rst_ms now = rst_os_now ();
 
-  while (delayed != NULL)
+  while (delayed_reply != NULL)
     {
-      struct delayed *next = CK_LIST_NEXT (delayed, entry);
+      struct delayed_reply *next = CK_LIST_NEXT (delayed_reply, entry);
 
-      if (now >= delayed->send_at)
+      if (now >= delayed_reply->send_at)
         {
-          rst_http_request_reply_json (delayed->request, delayed->status,
-                                       delayed->text);
-          CK_LIST_REMOVE (delayed, entry);
-          free (delayed->text);
-          g_free (delayed);
+          rst_http_request_reply_json (delayed_reply->request,
+                                       delayed_reply->status,
+                                       delayed_reply->text);
+          CK_LIST_REMOVE (delayed_reply, entry);
+          free (delayed_reply->text);
+          g_free (delayed_reply);
         }
-      delayed = next;
+      delayed_reply = next;
     }
 }
 
 static void *
-tick_main (void *userdata)
+run_loop (void *userdata)
 {
   while (!atomic_load (&store.stop_requested))
     {
       pthread_mutex_lock (&store.lock);
       expire_leases ();
       answer_watches (NULL);
-      send_delayed ();
+      send_delayed_replies ();
       pthread_mutex_unlock (&store.lock);
       usleep (TICK_INTERVAL_US);
     }
@@ -639,7 +640,7 @@
   config.idle_timeout_s = 120;
   config.handler = handle_request;
   if (rst_http_server_create (&config, &server) != RST_TRANSPORT_OK
-      || pthread_create (&thread, NULL, tick_main, NULL) != 0)
+      || pthread_create (&thread, NULL, run_loop, NULL) != 0)
     {
       fprintf (stderr, "%s: listen: address cannot be used\n", program.name);
       return EXIT_FAILURE;
