--- a/standin/fleet.c
+++ b/standin/fleet.c
@@ -1,9 +1,9 @@
 /**
  * DOC: fleet - stand-in for the instances of one availability zone
  *
- * Runners run queries in slots; workers run tasks under leases.  Both check
- * epochs, and count by themselves what must never happen: overcommitted
- * instances and work that ran twice.
+ * Runners run queries in slots; workers run tasks under leases.  Both reject
+ * stale epochs, and count what must never happen: overcommitted instances, and
+ * queries that ran twice although they are not idempotent.
  */
 #include <stdatomic.h>
 #include <stdio.h>
@@ -22,13 +22,13 @@
 #include "util/os.h"
 #include "util/program.h"
 
-/** Time between two looks at what is due. */
+/** Interval at which due runs and tasks are ended, in microseconds. */
 #define TICK_INTERVAL_US 1000
 
-/** Bound on a request's body in bytes. */
+/** Largest request body in bytes. */
 #define BODY_MAX_BYTES (4 * 1024 * 1024)
 
-/** Bound on the call that registers the instances. */
+/** Timeout of the call that registers the instances, in milliseconds. */
 #define REGISTER_TIMEOUT_MS 10000
 
 struct settings
@@ -94,7 +94,7 @@
   FAULT_SILENT,
 };
 
-/* A query that runs. */
+/* A query that runs in a slot of a runner. */
 struct run
 {
   struct rst_http_request *request;
@@ -147,6 +147,7 @@
   atomic_bool stop_requested;
 } fleet = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
+/* Counts a call from an older epoch, and records the epoch of any other. */
 static bool
 is_fenced (struct instance *instance, uint64_t epoch)
 {
@@ -338,7 +339,7 @@
     }
 }
 
-/* What usage looked like some time ago. */
+/* Usage is measured with a lag: a task that has just started shows none. */
 static int64_t
 get_reported_usage (const struct task *task, const char *resource)
 {
@@ -439,7 +440,7 @@
     rst_http_request_reply_json (request, 400, "{}");
   else if (task == NULL)
     {
-      /* A start under this id that arrives later is refused. */
+      /* A start under this id that arrives later is rejected. */
       g_hash_table_add (instance->tombstones, g_strdup (id));
       rst_http_request_reply_json (request, 404, "{}");
     }
@@ -456,7 +457,7 @@
     }
 }
 
-/* Slows a task down: what is left takes longer. */
+/* Sets a task's pace; the time that remains grows as the pace falls. */
 static void
 handle_throttle (struct instance *instance, struct rst_http_request *request,
                  struct json_object *body)
@@ -569,7 +570,7 @@
   free (text);
 }
 
-/* Ids of the queries that ran and must run once, a line each. */
+/* Replies with the ids of the non-idempotent queries that ran, one a line. */
 static void
 reply_executed_ids (struct rst_http_request *request)
 {
--- a/standin/list.c
+++ b/standin/list.c
@@ -1,7 +1,8 @@
 /**
  * DOC: list - stand-in for the platform's list of instances
  *
- * Changes become visible after a lag.
+ * A registration or a change of an instance's state becomes visible after the
+ * lag set by "lag_ms".
  */
 #include <stdatomic.h>
 #include <stdio.h>
@@ -18,7 +19,7 @@
 #include "util/os.h"
 #include "util/program.h"
 
-/** Bound on a request's body in bytes. */
+/** Largest request body in bytes. */
 #define BODY_MAX_BYTES (4 * 1024 * 1024)
 
 struct settings
@@ -39,11 +40,12 @@
   NULL,
 };
 
-/* A change that becomes visible later. */
+/* A change that is not visible yet: a new instance, or a new state of one. */
 struct change
 {
   rst_ms visible_at;
   char *name;
+  /* NULL when only the state changes. */
   struct json_object *instance;
   char *state;
   CK_STAILQ_ENTRY (change) list_entry;
@@ -64,6 +66,7 @@
   json_object_put (data);
 }
 
+/* Takes ownership of @instance. */
 static void
 queue_change (const char *name, struct json_object *instance,
               const char *state)
@@ -89,6 +92,7 @@
                            change->instance);
       return;
     }
+  /* "gone" removes the instance. */
   if (strcmp (change->state, "gone") == 0)
     {
       g_hash_table_remove (list.instances, change->name);
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -1,9 +1,10 @@
 /**
  * DOC: platform - stand-in for the users' platform
  *
- * The store, the advice service and a few instances that run tasks under
- * leases, all over HTTP.  A task's text is the time in milliseconds that it
- * takes.  Instances count by themselves what must never happen.
+ * Serves the store, the advice service and a few instances that run tasks
+ * under leases, all over HTTP.  The spec of a task is its run time in
+ * milliseconds.  Starts that must never happen are counted: those of a task
+ * that is done or runs already.
  */
 #include <inttypes.h>
 #include <stdatomic.h>
@@ -21,13 +22,13 @@
 #include "util/os.h"
 #include "util/program.h"
 
-/** Time between two looks at what is due. */
+/** Interval at which due runs and long polls are ended, in microseconds. */
 #define TICK_INTERVAL_US 2000
 
-/** Bound on a request's body in bytes. */
+/** Largest request body in bytes. */
 #define BODY_MAX_BYTES (4 * 1024 * 1024)
 
-/** Longest lease in milliseconds. */
+/** Longest lease that an instance grants, in milliseconds. */
 #define LEASE_MAX_MS 6000
 
 struct settings
@@ -73,7 +74,7 @@
   const char *end_reason;
 };
 
-/* A look that waits for an end. */
+/* A poll that waits until a run ends. */
 struct long_poll
 {
   struct rst_http_request *request;
@@ -88,7 +89,10 @@
   int64_t fencing_token;
   int64_t lease_expires_at;
   int64_t next_end_number;
+  /* Runs under way, by task. */
   GHashTable *runs;
+  /* Highest attempt of each task that has ended or was stopped; a start with
+     this attempt or a lower one is rejected. */
   GHashTable *highest_attempts;
   GQueue ended_runs;
   GPtrArray *long_polls;
@@ -99,7 +103,7 @@
   pthread_mutex_t lock;
   struct platform_store *store;
   GPtrArray *instances;
-  /* Names of tasks whose end "done" was listed. */
+  /* Names of the tasks that ended as done. */
   GHashTable *done_tasks;
   int64_t done_count;
   int64_t duplicate_starts;
@@ -116,7 +120,7 @@
   g_free (run);
 }
 
-/* What each answer of an instance holds. */
+/* Creates the members that each answer of an instance has. */
 static struct json_object *
 create_answer (const struct instance *instance)
 {
@@ -127,6 +131,7 @@
   return body;
 }
 
+/* The reasons are those of rst_platform_parse_rejection(). */
 static void
 reject (const struct instance *instance, struct rst_http_request *request,
         const char *reason)
@@ -137,6 +142,8 @@
   platform_store_reply (request, 409, body);
 }
 
+/* Lists the runs under way, at full progress and without usage, and the ended
+   runs that the caller has not confirmed. */
 static void
 reply_run_lists (struct instance *instance, struct rst_http_request *request)
 {
@@ -212,7 +219,7 @@
   g_ptr_array_add (instance->long_polls, long_poll);
 }
 
-/* Counts a task that runs elsewhere or has ended as done before. */
+/* Counts the start if the task is done or has a run on any instance. */
 static void
 count_duplicate_start (const char *task)
 {
@@ -421,7 +428,7 @@
   return NULL;
 }
 
-/* Approves every instance. */
+/* Approves every instance that the request names. */
 static void
 handle_advise (struct rst_http_request *request)
 {
@@ -478,7 +485,7 @@
     rst_http_request_reply_json (request, 404, "{\"error\":\"no such call\"}");
 }
 
-/* Writes the entry under which an instance registers. */
+/* Writes the instance's entry to the store. */
 static void
 register_instance (const struct settings *settings,
                    const struct instance *instance)
--- a/standin/platform_store.c
+++ b/standin/platform_store.c
@@ -9,25 +9,29 @@
 #include "state/json.h"
 #include "util/os.h"
 
-/** Bound on a value in bytes, and its length as base64 text. */
+/** Largest value in bytes. */
 #define VALUE_MAX_BYTES 1048576
+
+/** Largest value as base64 text. */
 #define VALUE_BASE64_MAX_BYTES ((VALUE_MAX_BYTES + 2) / 3 * 4)
 
-/** Bounds on one page: items and bytes of their values. */
+/** Largest number of items in a page. */
 #define PAGE_ITEMS_MAX 500
+
+/** Size of the values, as base64 text, at which a page ends. */
 #define PAGE_MAX_BYTES 1000000
 
-/** Entries that one transaction may have. */
+/** Largest number of writes and removals in a transaction. */
 #define TXN_ENTRIES_MAX 32
 
-/** Changes that watches can go back to. */
+/** Number of changes in the history, from which watches are served. */
 #define HISTORY_CHANGES_MAX 10000
 
-/* A key, or one change of it. */
+/* A key, or a change of a key in the history. */
 struct item
 {
   char *key;
-  /* As base64 text; NULL for a removed key. */
+  /* As base64 text; NULL when the key was deleted. */
   char *value;
   int64_t revision;
 };
@@ -133,7 +137,8 @@
   platform_store_reply (request, status, body);
 }
 
-/* Answers a watch when there is a change for it, or its wait is over. */
+/* Replies to a watch that has a change to report or is past its deadline.
+   Returns whether it replied. */
 static bool
 answer_watch (const struct platform_store *store, const struct watch *watch,
               rst_ms now)
@@ -293,7 +298,7 @@
   if (g_queue_get_length (&store->history) == HISTORY_CHANGES_MAX
       && oldest->revision > watch->after)
     {
-      reply_error (request, 410, "this history is no longer kept");
+      reply_error (request, 410, "the requested history was compacted");
       watch_free (watch);
       return;
     }
@@ -307,8 +312,8 @@
   return list != NULL ? json_object_array_length (list) : 0;
 }
 
-/* The present state of the keys whose revision was said; NULL when all hold.
- */
+/* Returns the current items of all keys that have a condition when one of the
+   conditions fails, else NULL. */
 static struct json_object *
 find_failed_conditions (struct platform_store *store,
                         struct json_object *expected)
--- a/standin/platform_store.h
+++ b/standin/platform_store.h
@@ -1,8 +1,9 @@
 /**
- * DOC: platform_store - key-value store of the users' platform, in memory
+ * DOC: platform_store - stand-in for the store of the users' platform
  *
- * Keys with revisions, pages, watches and transactions, as docs/PLATFORM.md's
- * adapter speaks them.  All functions may be called from any thread.
+ * Keeps keys with revisions in memory and serves the store's HTTP calls:
+ * reads, pages, watches and transactions.  All functions may be called from
+ * any thread.
  */
 #ifndef STANDIN_PLATFORM_STORE_H
 #define STANDIN_PLATFORM_STORE_H
@@ -15,30 +16,31 @@
 
 struct platform_store;
 
-/** platform_store_reply() - Answers a request with @body, and frees it. */
+/** platform_store_reply() - Replies to a request with @body and releases it.
+ */
 void platform_store_reply (struct rst_http_request *request, unsigned status,
                            struct json_object *body);
 
-/** platform_store_create() - An empty store. */
+/** platform_store_create() - Creates an empty store. */
 struct platform_store *platform_store_create (void);
 
 /**
- * platform_store_handle_request() - Answers a call if it is one of the
- * store's.
+ * platform_store_handle_request() - Handles a request for a path of the store.
  *
- * Return: false when the path is not the store's; the request is untouched.
+ * Return: false when the path is another one; the request is then unchanged.
  */
 bool platform_store_handle_request (struct platform_store *store,
                                     struct rst_http_request *request);
 
 /**
- * platform_store_put() - Writes a key as the platform's own parts do.
- * @text: The value, or NULL to remove the key.
+ * platform_store_put() - Writes a key without a condition.
+ * @text: The value, or NULL to delete the key.
  */
 void platform_store_put (struct platform_store *store, const char *key,
                          const char *text);
 
-/** platform_store_expire_watches() - Ends watches whose wait is over. */
+/** platform_store_expire_watches() - Replies to watches past their deadline.
+ */
 void platform_store_expire_watches (struct platform_store *store);
 
 #endif
--- a/standin/store.c
+++ b/standin/store.c
@@ -1,8 +1,10 @@
 /**
  * DOC: store - stand-in for the platform's key-value service
  *
- * Compare-and-swap, leases, watches and revisions over HTTP/1.1 with JSON, in
- * memory, with faults: down, slow, and answers lost after taking effect.
+ * Keeps keys with revisions in memory and serves compare-and-swap, leases and
+ * watches over HTTP/1.1 with JSON.  It can be set through /faults to drop all
+ * requests for keys and leases, to delay its replies, or to drop the replies
+ * of writes that took effect.
  */
 #include <stdatomic.h>
 #include <stdio.h>
@@ -20,13 +22,15 @@
 #include "util/os.h"
 #include "util/program.h"
 
-/** Changes kept for watches. */
+/** Largest number of changes in the history, from which watches are served;
+    the older half is deleted at once. */
 #define HISTORY_CHANGES_MAX 20000
 
-/** Time between two looks at leases, watches and delayed answers. */
+/** Interval at which leases and watches expire and delayed replies are sent,
+   in microseconds. */
 #define TICK_INTERVAL_US 2000
 
-/** Bound on a value in bytes. */
+/** Largest value in bytes. */
 #define VALUE_MAX_BYTES 1048576
 
 struct settings
@@ -52,6 +56,7 @@
   char *key;
   char *value;
   uint64_t revision;
+  /* Id of the lease that keeps the key, or 0. */
   uint64_t lease;
 };
 
@@ -79,7 +84,6 @@
   CK_LIST_ENTRY (watch) entry;
 };
 
-/* An answer that is delayed. */
 struct delayed_reply
 {
   struct rst_http_request *request;
@@ -97,6 +101,8 @@
   GPtrArray *history;
   uint64_t revision;
   uint64_t last_lease_id;
+  /* Faults: drop requests, delay replies, drop the replies of this many
+     writes that took effect. */
   bool is_down;
   rst_ms reply_delay_ms;
   int64_t replies_to_drop;
@@ -128,9 +134,9 @@
   g_free (change);
 }
 
-/* ---- Answers
- * ------------------------------------------------------------------- */
+/* ---- Replies ---- */
 
+/* Takes ownership of @text. */
 static void
 send_reply (struct rst_http_request *request, unsigned status, char *text)
 {
@@ -160,7 +166,8 @@
   send_reply (request, status, rst_json_format_and_release (root));
 }
 
-/* The answer to a write, which may get lost. */
+/* Replies to a write, or drops the reply of a write that took effect if that
+   fault is set. */
 static void
 reply_to_write (struct rst_http_request *request, unsigned status,
                 uint64_t revision)
@@ -199,8 +206,7 @@
   send_reply (request, 200, rst_json_format_and_release (root));
 }
 
-/* ---- Watches
- * -------------------------------------------------------------------- */
+/* ---- Watches ---- */
 
 static struct json_object *
 collect_changes (const char *prefix, uint64_t after)
@@ -233,6 +239,8 @@
   g_free (watch);
 }
 
+/* Replies to the watches of @key, or, when it is NULL, to those past their
+   deadline. */
 static void
 answer_watches (const char *key)
 {
@@ -270,12 +278,12 @@
   answer_watches (key);
 }
 
-/* ---- Keys
- * ------------------------------------------------------------------------- */
+/* ---- Keys ---- */
 
 static void
 remove_key (const char *key)
 {
+  /* The entry that is removed may own @key. */
   char *copy = g_strdup (key);
 
   store.revision++;
@@ -293,6 +301,8 @@
   return text != NULL ? g_ascii_strtoll (text, NULL, 10) : fallback;
 }
 
+/* A request without "expect" has no condition; 0 expects that the key does not
+   exist. */
 static bool
 matches_expected_revision (struct rst_http_request *request,
                            const struct entry *entry)
@@ -440,10 +450,9 @@
   CK_LIST_INSERT_HEAD (&store.pending_watches, watch, entry);
 }
 
-/* ---- Leases
- * --------------------------------------------------------------------------
- */
+/* ---- Leases ---- */
 
+/* Deletes a lease and the keys that it keeps. */
 static void
 end_lease (uint64_t id)
 {
@@ -512,8 +521,7 @@
   g_list_free (leases);
 }
 
-/* ---- Faults and figures
- * ---------------------------------------------------------------- */
+/* ---- Faults and counters ---- */
 
 static void
 drop_watches (void)
--- a/test/unit/adapter_test.cc
+++ b/test/unit/adapter_test.cc
@@ -8,7 +8,7 @@
 #include "adapter_private.h"
 }
 
-TEST (Adapter, WritesATransactionWithConditionsWritesAndRemovals)
+TEST (Adapter, FormatsTransactionWithConditionsWritesAndRemovals)
 {
   rst_store_write writes[3] = {};
 
@@ -32,7 +32,7 @@
   free (body);
 }
 
-TEST (Adapter, WritesAStartWithWhatItNeedsOnly)
+TEST (Adapter, OmitsEmptyMembersOfStart)
 {
   rst_instance_call call = {};
 
@@ -50,7 +50,7 @@
   free (body);
 }
 
-TEST (Adapter, WritesAPaceOfNothingToo)
+TEST (Adapter, FormatsPaceOfZeroPercent)
 {
   rst_instance_call call = {};
 
@@ -65,7 +65,7 @@
   free (body);
 }
 
-TEST (Adapter, ReadsListsOfRuns)
+TEST (Adapter, ParsesRuns)
 {
   rst_instance_answer *answer = rst_instance_answer_new ();
 
@@ -92,7 +92,7 @@
   rst_instance_answer_free (answer);
 }
 
-TEST (Adapter, TellsReasonsApart)
+TEST (Adapter, ParsesRejectionReasons)
 {
   EXPECT_EQ (rst_platform_parse_rejection ("{\"reason\":\"fence\"}"),
              RST_RESULT_FENCED);
@@ -103,7 +103,7 @@
   EXPECT_EQ (rst_platform_parse_rejection ("{"), RST_RESULT_UNKNOWN);
 }
 
-TEST (Adapter, ReadsTheConfiguration)
+TEST (Adapter, ParsesConfiguration)
 {
   char *problem = nullptr;
   const char *rest = nullptr;
@@ -134,7 +134,7 @@
   rst_cellconfig_destroy (config);
 }
 
-TEST (Adapter, NamesWhatIsWrongWithAConfiguration)
+TEST (Adapter, NamesMissingFieldOfConfiguration)
 {
   char *problem = nullptr;
 
@@ -143,10 +143,10 @@
   g_free (problem);
 }
 
-TEST (Adapter, IgnoresEntriesThatNameNoInstance)
+TEST (Adapter, RejectsUnusableInstanceEntries)
 {
   rst_instance_entry entry;
-  static const char *const bad[]
+  static const char *const unusable[]
       = { "",
           "{",
           "[]",
@@ -158,7 +158,7 @@
           "{\"service\":\"s\",\"addr\":\"a:1\",\"zone\":\"z\","
           "\"state\":\"ready\"}" };
 
-  for (const char *text : bad)
+  for (const char *text : unusable)
     EXPECT_FALSE (rst_adapter_parse_instance ("i", text, &entry)) << text;
   ASSERT_TRUE (rst_adapter_parse_instance (
       "i",
@@ -172,7 +172,7 @@
   EXPECT_FALSE (rst_instance_entry_has_label (&entry, "r1"));
 }
 
-TEST (Adapter, ReadsAJobAndNamesTheBadField)
+TEST (Adapter, ParsesJobAndNamesInvalidField)
 {
   const char *problem = nullptr;
   rst_jobdesc *desc = rst_adapter_parse_job (
