--- a/standin/store.c
+++ b/standin/store.c
@@ -3,8 +3,8 @@
  *
  * Keeps keys with revisions in memory and serves compare-and-swap, leases and
  * watches over HTTP/1.1 with JSON.  It can be set through /faults to drop all
- * requests for keys and leases, to delay its replies, or to drop the replies
- * of writes that took effect.
+ * other requests, to delay its replies, or to drop the replies of writes that
+ * took effect.
  */
 #include <stdatomic.h>
 #include <stdio.h>
