--- a/standin/store.c
+++ b/standin/store.c
@@ -1,8 +1,10 @@
 /**
  * DOC: store - stand-in for the platform's key-value service
  *
- * Compare-and-swap, leases, watches and revisions over HTTP/1.1 with JSON, in
- * memory, with faults: down, slow, and answers lost after taking effect.
+ * Keeps keys with revisions in memory and serves compare-and-swap, leases and
+ * watches over HTTP/1.1 with JSON.  It can be set through /faults to drop all
+ * other requests, to delay its replies, or to drop the replies of writes that
+ * took effect.
  */
 #include <stdatomic.h>
 #include <stdio.h>
@@ -20,13 +22,15 @@
 #include "util/os.h"
 #include "util/program.h"
 
-/** Changes kept for watches. */
+/** Largest number of changes in the history, from which watches are served;
+    the older half is deleted at once. */
 #define HISTORY_CHANGES_MAX 20000
 
-/** Time between two looks at leases, watches and delayed answers. */
+/** Interval at which leases and watches expire and delayed replies are sent,
+   in microseconds. */
 #define TICK_INTERVAL_US 2000
 
-/** Bound on a value in bytes. */
+/** Largest value in bytes. */
 #define VALUE_MAX_BYTES 1048576
 
 struct settings
@@ -52,6 +56,7 @@
   char *key;
   char *value;
   uint64_t revision;
+  /* Id of the lease that keeps the key, or 0. */
   uint64_t lease;
 };
 
@@ -79,14 +84,13 @@
   CK_LIST_ENTRY (watch) entry;
 };
 
-/* An answer that is delayed. */
-struct delayed
+struct delayed_reply
 {
   struct rst_http_request *request;
   unsigned status;
   char *text;
   rst_ms send_at;
-  CK_LIST_ENTRY (delayed) entry;
+  CK_LIST_ENTRY (delayed_reply) entry;
 };
 
 static struct
@@ -97,6 +101,8 @@
   GPtrArray *history;
   uint64_t revision;
   uint64_t last_lease_id;
+  /* Faults: drop requests, delay replies, drop the replies of this many
+     writes that took effect. */
   bool is_down;
   rst_ms reply_delay_ms;
   int64_t replies_to_drop;
@@ -104,7 +110,7 @@
   uint64_t write_count;
   uint64_t watch_count;
   CK_LIST_HEAD (watch_list, watch) pending_watches;
-  CK_LIST_HEAD (delayed_list, delayed) delayed;
+  CK_LIST_HEAD (delayed_reply_list, delayed_reply) delayed_replies;
   atomic_bool stop_requested;
 } store = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
@@ -128,13 +134,13 @@
   g_free (change);
 }
 
-/* ---- Answers
- * ------------------------------------------------------------------- */
+/* ---- Replies ---- */
 
+/* Takes ownership of @text. */
 static void
 send_reply (struct rst_http_request *request, unsigned status, char *text)
 {
-  struct delayed *delayed;
+  struct delayed_reply *delayed_reply;
 
   if (store.reply_delay_ms == 0)
     {
@@ -142,12 +148,12 @@
       free (text);
       return;
     }
-  delayed = g_new0 (struct delayed, 1);
-  delayed->request = request;
-  delayed->status = status;
-  delayed->text = text;
-  delayed->send_at = rst_os_now () + store.reply_delay_ms;
-  CK_LIST_INSERT_HEAD (&store.delayed, delayed, entry);
+  delayed_reply = g_new0 (struct delayed_reply, 1);
+  delayed_reply->request = request;
+  delayed_reply->status = status;
+  delayed_reply->text = text;
+  delayed_reply->send_at = rst_os_now () + store.reply_delay_ms;
+  CK_LIST_INSERT_HEAD (&store.delayed_replies, delayed_reply, entry);
 }
 
 static void
@@ -160,7 +166,8 @@
   send_reply (request, status, rst_json_format_and_release (root));
 }
 
-/* The answer to a write, which may get lost. */
+/* Replies to a write, or drops the reply of a write that took effect if that
+   fault is set. */
 static void
 reply_to_write (struct rst_http_request *request, unsigned status,
                 uint64_t revision)
@@ -199,8 +206,7 @@
   send_reply (request, 200, rst_json_format_and_release (root));
 }
 
-/* ---- Watches
- * -------------------------------------------------------------------- */
+/* ---- Watches ---- */
 
 static struct json_object *
 collect_changes (const char *prefix, uint64_t after)
@@ -233,6 +239,8 @@
   g_free (watch);
 }
 
+/* Replies to the watches of @key, or, when it is NULL, to those past their
+   deadline. */
 static void
 answer_watches (const char *key)
 {
@@ -270,12 +278,12 @@
   answer_watches (key);
 }
 
-/* ---- Keys
- * ------------------------------------------------------------------------- */
+/* ---- Keys ---- */
 
 static void
 remove_key (const char *key)
 {
+  /* The entry that is removed may own @key. */
   char *copy = g_strdup (key);
 
   store.revision++;
@@ -293,6 +301,8 @@
   return text != NULL ? g_ascii_strtoll (text, NULL, 10) : fallback;
 }
 
+/* A request without "expect" has no condition; 0 expects that the key does not
+   exist. */
 static bool
 matches_expected_revision (struct rst_http_request *request,
                            const struct entry *entry)
@@ -440,24 +450,23 @@
   CK_LIST_INSERT_HEAD (&store.pending_watches, watch, entry);
 }
 
-/* ---- Leases
- * --------------------------------------------------------------------------
- */
+/* ---- Leases ---- */
 
+/* Deletes a lease and the keys that it keeps. */
 static void
 end_lease (uint64_t id)
 {
-  GList *all = g_hash_table_get_values (store.entries);
+  GList *entries = g_hash_table_get_values (store.entries);
 
   g_hash_table_remove (store.leases, &id);
-  for (GList *item = all; item != NULL; item = item->next)
+  for (GList *item = entries; item != NULL; item = item->next)
     {
       const struct entry *entry = item->data;
 
       if (entry->lease == id)
         remove_key (entry->key);
     }
-  g_list_free (all);
+  g_list_free (entries);
 }
 
 static void
@@ -500,20 +509,19 @@
 expire_leases (void)
 {
   rst_ms now = rst_os_now ();
-  GList *all = g_hash_table_get_values (store.leases);
+  GList *leases = g_hash_table_get_values (store.leases);
 
-  for (GList *item = all; item != NULL; item = item->next)
+  for (GList *item = leases; item != NULL; item = item->next)
     {
       const struct lease *lease = item->data;
 
       if (now >= lease->expires_at)
         end_lease (lease->id);
     }
-  g_list_free (all);
+  g_list_free (leases);
 }
 
-/* ---- Faults and figures
- * ---------------------------------------------------------------- */
+/* ---- Faults and counters ---- */
 
 static void
 drop_watches (void)
@@ -580,36 +588,37 @@
 }
 
 static void
-send_delayed (void)
+send_delayed_replies (void)
 {
-  struct delayed *delayed = CK_LIST_FIRST (&store.delayed);
+  struct delayed_reply *delayed_reply = CK_LIST_FIRST (&store.delayed_replies);
   rst_ms now = rst_os_now ();
 
-  while (delayed != NULL)
+  while (delayed_reply != NULL)
     {
-      struct delayed *next = CK_LIST_NEXT (delayed, entry);
+      struct delayed_reply *next = CK_LIST_NEXT (delayed_reply, entry);
 
-      if (now >= delayed->send_at)
+      if (now >= delayed_reply->send_at)
         {
-          rst_http_request_reply_json (delayed->request, delayed->status,
-                                       delayed->text);
-          CK_LIST_REMOVE (delayed, entry);
-          free (delayed->text);
-          g_free (delayed);
+          rst_http_request_reply_json (delayed_reply->request,
+                                       delayed_reply->status,
+                                       delayed_reply->text);
+          CK_LIST_REMOVE (delayed_reply, entry);
+          free (delayed_reply->text);
+          g_free (delayed_reply);
         }
-      delayed = next;
+      delayed_reply = next;
     }
 }
 
 static void *
-tick_main (void *userdata)
+run_loop (void *userdata)
 {
   while (!atomic_load (&store.stop_requested))
     {
       pthread_mutex_lock (&store.lock);
       expire_leases ();
       answer_watches (NULL);
-      send_delayed ();
+      send_delayed_replies ();
       pthread_mutex_unlock (&store.lock);
       usleep (TICK_INTERVAL_US);
     }
@@ -639,7 +648,7 @@
   config.idle_timeout_s = 120;
   config.handler = handle_request;
   if (rst_http_server_create (&config, &server) != RST_TRANSPORT_OK
-      || pthread_create (&thread, NULL, tick_main, NULL) != 0)
+      || pthread_create (&thread, NULL, run_loop, NULL) != 0)
     {
       fprintf (stderr, "%s: listen: address cannot be used\n", program.name);
       return EXIT_FAILURE;
