--- a/src/daemon/cell_loop.c
+++ b/src/daemon/cell_loop.c
@@ -9,23 +9,23 @@
 #include "util/os.h"
 
 /** Bound on waiting events. */
-#define LOOP_QUEUE_SIZE 32768
+#define MAILBOX_SIZE 32768
 
 /** Bounds on frames and on unsent bytes of a link. */
-#define LINK_FRAME_MAX (4 * 1024 * 1024)
-#define LINK_BUFFER_MAX (16 * 1024 * 1024)
+#define LINK_FRAME_MAX_BYTES (4 * 1024 * 1024)
+#define LINK_BUFFER_MAX_BYTES (16 * 1024 * 1024)
 
 /** Heartbeats of a link, and silence after which it is closed. */
 #define LINK_HEARTBEAT_MS 500
-#define LINK_SILENT_MS 1000
+#define LINK_SILENCE_TIMEOUT_MS 1000
 
 /** Bounds on the readers of a page of text. */
-#define PAGE_BODY_MAX 1024
-#define PAGE_READERS_MAX 8
-#define PAGE_IDLE_S 30
+#define PAGE_BODY_MAX_BYTES 1024
+#define PAGE_CONNECTIONS_MAX 8
+#define PAGE_IDLE_TIMEOUT_S 30
 
 /** Pause of a poster while the mailbox is full, in microseconds. */
-#define LOOP_FULL_PAUSE_US 1000
+#define MAILBOX_FULL_PAUSE_US 1000
 
 struct rst_cell_loop
 {
@@ -33,8 +33,8 @@
   struct rst_mailbox *mailbox;
   struct rst_net *net;
   const struct rst_backend *backend;
-  struct rst_backend posted;
-  atomic_bool stop;
+  struct rst_backend wrapped_backend;
+  atomic_bool stop_requested;
 };
 
 struct link_event
@@ -61,7 +61,7 @@
 };
 
 /* An HTTP server that hands its requests to the loop. */
-struct served
+struct http_service
 {
   struct rst_cell_loop *loop;
   rst_http_handler handler;
@@ -71,7 +71,7 @@
 struct request_event
 {
   struct rst_cell_event event;
-  const struct served *served;
+  const struct http_service *service;
   struct rst_http_request *request;
 };
 
@@ -89,7 +89,7 @@
   struct rst_cell_loop *loop = g_new0 (struct rst_cell_loop, 1);
 
   loop->config = *config;
-  loop->mailbox = rst_mailbox_create (LOOP_QUEUE_SIZE);
+  loop->mailbox = rst_mailbox_create (MAILBOX_SIZE);
   if (loop->mailbox == NULL)
     {
       g_free (loop);
@@ -112,28 +112,28 @@
 rst_cell_loop_post (struct rst_cell_loop *loop, struct rst_cell_event *event)
 {
   while (!rst_mailbox_post (loop->mailbox, event))
-    usleep (LOOP_FULL_PAUSE_US);
+    usleep (MAILBOX_FULL_PAUSE_US);
 }
 
 static void
-run_link (struct rst_cell_event *base)
+run_link_event (struct rst_cell_event *base)
 {
   struct link_event *event = (struct link_event *)base;
   struct rst_cell_loop *loop = event->loop;
 
-  loop->config.link (loop->config.userdata, event->kind, event->link,
-                     event->data->data, event->data->len);
+  loop->config.on_link_event (loop->config.userdata, event->kind, event->link,
+                              event->data->data, event->data->len);
   g_byte_array_free (event->data, TRUE);
   g_free (event);
 }
 
 static void
-on_net (enum rst_net_event kind, uint64_t connection, const void *data,
-        size_t length, void *userdata)
+post_link_event (enum rst_net_event kind, uint64_t connection,
+                 const void *data, size_t length, void *userdata)
 {
   struct link_event *event = g_new0 (struct link_event, 1);
 
-  event->event.run = run_link;
+  event->event.run = run_link_event;
   event->loop = userdata;
   event->kind = kind;
   event->link = connection;
@@ -149,11 +149,11 @@
   struct rst_net_config config = { 0 };
 
   config.listen = address;
-  config.max_frame_bytes = LINK_FRAME_MAX;
-  config.max_unsent_bytes = LINK_BUFFER_MAX;
+  config.max_frame_bytes = LINK_FRAME_MAX_BYTES;
+  config.max_unsent_bytes = LINK_BUFFER_MAX_BYTES;
   config.heartbeat_interval_ms = LINK_HEARTBEAT_MS;
-  config.receive_timeout_ms = LINK_SILENT_MS;
-  config.handler = on_net;
+  config.receive_timeout_ms = LINK_SILENCE_TIMEOUT_MS;
+  config.handler = post_link_event;
   config.userdata = loop;
   return rst_net_create (&config, &loop->net);
 }
@@ -184,8 +184,8 @@
 }
 
 static struct answer_event *
-answer_event (struct rst_cell_loop *loop,
-              void (*run) (struct rst_cell_event *), void *userdata)
+new_answer_event (struct rst_cell_loop *loop,
+                  void (*run) (struct rst_cell_event *), void *userdata)
 {
   struct answer_event *event = g_new0 (struct answer_event, 1);
 
@@ -196,7 +196,7 @@
 }
 
 static void
-run_store (struct rst_cell_event *base)
+run_store_callback (struct rst_cell_event *base)
 {
   struct answer_event *event = (struct answer_event *)base;
 
@@ -205,7 +205,7 @@
 }
 
 static void
-run_instance (struct rst_cell_event *base)
+run_instance_callback (struct rst_cell_event *base)
 {
   struct answer_event *event = (struct answer_event *)base;
 
@@ -214,7 +214,7 @@
 }
 
 static void
-run_advice (struct rst_cell_event *base)
+run_advice_callback (struct rst_cell_event *base)
 {
   struct answer_event *event = (struct answer_event *)base;
 
@@ -230,37 +230,40 @@
 }
 
 static void
-on_store (struct rst_store_answer *answer, void *userdata)
+post_store_answer (struct rst_store_answer *answer, void *userdata)
 {
   post_answer (userdata, answer);
 }
 
 static void
-on_instance (struct rst_instance_answer *answer, void *userdata)
+post_instance_answer (struct rst_instance_answer *answer, void *userdata)
 {
   post_answer (userdata, answer);
 }
 
 static void
-on_advice (struct rst_advice_answer *answer, void *userdata)
+post_advice_answer (struct rst_advice_answer *answer, void *userdata)
 {
   post_answer (userdata, answer);
 }
 
 static struct answer_event *
-store_event (struct rst_cell_loop *loop, rst_store_done done, void *done_data)
+new_store_event (struct rst_cell_loop *loop, rst_store_done done,
+                 void *done_data)
 {
-  struct answer_event *event = answer_event (loop, run_store, done_data);
+  struct answer_event *event
+      = new_answer_event (loop, run_store_callback, done_data);
 
   event->done.store = done;
   return event;
 }
 
 static struct answer_event *
-instance_event (struct rst_cell_loop *loop, rst_instance_done done,
-                void *done_data)
+new_instance_event (struct rst_cell_loop *loop, rst_instance_done done,
+                    void *done_data)
 {
-  struct answer_event *event = answer_event (loop, run_instance, done_data);
+  struct answer_event *event
+      = new_answer_event (loop, run_instance_callback, done_data);
 
   event->done.instance = done;
   return event;
@@ -272,8 +275,8 @@
 {
   struct rst_cell_loop *loop = userdata;
 
-  loop->backend->store_get (loop->backend->userdata, key, on_store,
-                            store_event (loop, done, done_data));
+  loop->backend->store_get (loop->backend->userdata, key, post_store_answer,
+                            new_store_event (loop, done, done_data));
 }
 
 static void
@@ -282,8 +285,9 @@
 {
   struct rst_cell_loop *loop = userdata;
 
-  loop->backend->store_range (loop->backend->userdata, prefix, after, on_store,
-                              store_event (loop, done, done_data));
+  loop->backend->store_range (loop->backend->userdata, prefix, after,
+                              post_store_answer,
+                              new_store_event (loop, done, done_data));
 }
 
 static void
@@ -293,7 +297,8 @@
   struct rst_cell_loop *loop = userdata;
 
   loop->backend->store_watch (loop->backend->userdata, prefix, after, wait_ms,
-                              on_store, store_event (loop, done, done_data));
+                              post_store_answer,
+                              new_store_event (loop, done, done_data));
 }
 
 static void
@@ -303,93 +308,96 @@
   struct rst_cell_loop *loop = userdata;
 
   loop->backend->store_commit (loop->backend->userdata, writes, count,
-                               on_store, store_event (loop, done, done_data));
+                               post_store_answer,
+                               new_store_event (loop, done, done_data));
 }
 
 static void
-hold (void *userdata, const struct rst_instance_call *call,
-      rst_instance_done done, void *done_data)
+instance_hold (void *userdata, const struct rst_instance_call *call,
+               rst_instance_done done, void *done_data)
 {
   struct rst_cell_loop *loop = userdata;
 
-  loop->backend->hold (loop->backend->userdata, call, on_instance,
-                       instance_event (loop, done, done_data));
+  loop->backend->hold (loop->backend->userdata, call, post_instance_answer,
+                       new_instance_event (loop, done, done_data));
 }
 
 static void
-start (void *userdata, const struct rst_instance_call *call,
-       rst_instance_done done, void *done_data)
+instance_start (void *userdata, const struct rst_instance_call *call,
+                rst_instance_done done, void *done_data)
 {
   struct rst_cell_loop *loop = userdata;
 
-  loop->backend->start (loop->backend->userdata, call, on_instance,
-                        instance_event (loop, done, done_data));
+  loop->backend->start (loop->backend->userdata, call, post_instance_answer,
+                        new_instance_event (loop, done, done_data));
 }
 
 static void
-stop (void *userdata, const struct rst_instance_call *call,
-      rst_instance_done done, void *done_data)
+instance_stop (void *userdata, const struct rst_instance_call *call,
+               rst_instance_done done, void *done_data)
 {
   struct rst_cell_loop *loop = userdata;
 
-  loop->backend->stop (loop->backend->userdata, call, on_instance,
-                       instance_event (loop, done, done_data));
+  loop->backend->stop (loop->backend->userdata, call, post_instance_answer,
+                       new_instance_event (loop, done, done_data));
 }
 
 static void
-pace (void *userdata, const struct rst_instance_call *call,
-      rst_instance_done done, void *done_data)
+instance_pace (void *userdata, const struct rst_instance_call *call,
+               rst_instance_done done, void *done_data)
 {
   struct rst_cell_loop *loop = userdata;
 
-  loop->backend->pace (loop->backend->userdata, call, on_instance,
-                       instance_event (loop, done, done_data));
+  loop->backend->pace (loop->backend->userdata, call, post_instance_answer,
+                       new_instance_event (loop, done, done_data));
 }
 
 static void
-advise (void *userdata, const char *step, const char *const *ids, int count,
-        rst_advice_done done, void *done_data)
+advice_request (void *userdata, const char *step, const char *const *ids,
+                int count, rst_advice_done done, void *done_data)
 {
   struct rst_cell_loop *loop = userdata;
-  struct answer_event *event = answer_event (loop, run_advice, done_data);
+  struct answer_event *event
+      = new_answer_event (loop, run_advice_callback, done_data);
 
   event->done.advice = done;
-  loop->backend->advise (loop->backend->userdata, step, ids, count, on_advice,
-                         event);
+  loop->backend->advise (loop->backend->userdata, step, ids, count,
+                         post_advice_answer, event);
 }
 
 const struct rst_backend *
 rst_cell_loop_wrap_backend (struct rst_cell_loop *loop,
                             const struct rst_backend *backend)
 {
-  struct rst_backend table
-      = { store_get, store_range, store_watch, store_commit, hold,
-          start,     stop,        pace,        advise,       loop };
+  struct rst_backend wrapped = { store_get,     store_range,   store_watch,
+                                 store_commit,  instance_hold, instance_start,
+                                 instance_stop, instance_pace, advice_request,
+                                 loop };
 
   loop->backend = backend;
-  loop->posted = table;
-  return &loop->posted;
+  loop->wrapped_backend = wrapped;
+  return &loop->wrapped_backend;
 }
 
 static void
-run_request (struct rst_cell_event *base)
+run_http_handler (struct rst_cell_event *base)
 {
   struct request_event *event = (struct request_event *)base;
 
-  event->served->handler (event->request, event->served->userdata);
+  event->service->handler (event->request, event->service->userdata);
   g_free (event);
 }
 
 /* On the server's thread. */
 static void
-on_request (struct rst_http_request *request, void *userdata)
+post_http_request (struct rst_http_request *request, void *userdata)
 {
   struct request_event *event = g_new0 (struct request_event, 1);
 
-  event->event.run = run_request;
-  event->served = userdata;
+  event->event.run = run_http_handler;
+  event->service = userdata;
   event->request = request;
-  rst_cell_loop_post (event->served->loop, &event->event);
+  rst_cell_loop_post (event->service->loop, &event->event);
 }
 
 int
@@ -397,16 +405,16 @@
                                  const struct rst_http_server_config *config,
                                  struct rst_http_server **out)
 {
-  struct rst_http_server_config posted = *config;
+  struct rst_http_server_config server_config = *config;
   /* Lives as long as the process; a server's last requests need it. */
-  struct served *served = g_new0 (struct served, 1);
+  struct http_service *service = g_new0 (struct http_service, 1);
 
-  served->loop = loop;
-  served->handler = config->handler;
-  served->userdata = config->userdata;
-  posted.handler = on_request;
-  posted.userdata = served;
-  return rst_http_server_create (&posted, out);
+  service->loop = loop;
+  service->handler = config->handler;
+  service->userdata = config->userdata;
+  server_config.handler = post_http_request;
+  server_config.userdata = service;
+  return rst_http_server_create (&server_config, out);
 }
 
 int
@@ -420,16 +428,16 @@
   if (address[0] == '\0')
     return RST_TRANSPORT_OK;
   config.address = address;
-  config.max_body_bytes = PAGE_BODY_MAX;
-  config.max_connections = PAGE_READERS_MAX;
-  config.idle_timeout_s = PAGE_IDLE_S;
+  config.max_body_bytes = PAGE_BODY_MAX_BYTES;
+  config.max_connections = PAGE_CONNECTIONS_MAX;
+  config.idle_timeout_s = PAGE_IDLE_TIMEOUT_S;
   config.handler = handler;
   config.userdata = userdata;
   return rst_cell_loop_start_http_server (loop, &config, &server);
 }
 
 static void
-run_stop (struct rst_cell_event *base)
+run_begin_stop (struct rst_cell_event *base)
 {
   struct stop_event *event = (struct stop_event *)base;
 
@@ -438,7 +446,7 @@
 }
 
 static void *
-wait_for_stop (void *userdata)
+wait_for_stop_signal (void *userdata)
 {
   struct stop_event *event = userdata;
 
@@ -455,11 +463,11 @@
   struct stop_event *event = g_new0 (struct stop_event, 1);
   pthread_t thread;
 
-  event->event.run = run_stop;
+  event->event.run = run_begin_stop;
   event->loop = loop;
   event->begin = begin;
   event->userdata = userdata;
-  pthread_create (&thread, NULL, wait_for_stop, event);
+  pthread_create (&thread, NULL, wait_for_stop_signal, event);
   pthread_detach (thread);
 }
 
@@ -468,7 +476,7 @@
 {
   rst_ms wake = rst_os_now ();
 
-  while (!atomic_load (&loop->stop))
+  while (!atomic_load (&loop->stop_requested))
     {
       struct rst_cell_event *event;
       rst_ms now = rst_os_now ();
@@ -477,12 +485,12 @@
         rst_mailbox_wait (loop->mailbox, (int)(wake - now));
       while ((event = rst_mailbox_take (loop->mailbox)) != NULL)
         event->run (event);
-      wake = loop->config.tick (loop->config.userdata);
+      wake = loop->config.on_tick (loop->config.userdata);
     }
 }
 
 static void
-run_nothing (struct rst_cell_event *event)
+free_wakeup_event (struct rst_cell_event *event)
 {
   g_free (event);
 }
@@ -492,7 +500,7 @@
 {
   struct rst_cell_event *event = g_new0 (struct rst_cell_event, 1);
 
-  event->run = run_nothing;
-  atomic_store (&loop->stop, true);
+  event->run = free_wakeup_event;
+  atomic_store (&loop->stop_requested, true);
   rst_cell_loop_post (loop, event);
 }
--- a/src/daemon/cell_loop.h
+++ b/src/daemon/cell_loop.h
@@ -25,15 +25,15 @@
 
 /**
  * struct rst_cell_loop_config - What a loop calls.
- * @link: A link was opened or closed, or carried a frame.
- * @tick: Called after each batch of events; returns when to call it again.
+ * @on_link_event: A link was opened or closed, or carried a frame.
+ * @on_tick: Called after each batch of events; returns when to call it again.
  * @userdata: Passed to both.
  */
 struct rst_cell_loop_config
 {
-  void (*link) (void *userdata, enum rst_net_event event, uint64_t link,
-                const void *data, size_t length);
-  rst_ms (*tick) (void *userdata);
+  void (*on_link_event) (void *userdata, enum rst_net_event event,
+                         uint64_t link, const void *data, size_t length);
+  rst_ms (*on_tick) (void *userdata);
   void *userdata;
 };
 
--- a/src/daemon/cell_metrics.c
+++ b/src/daemon/cell_metrics.c
@@ -3,7 +3,7 @@
 #include "daemon/metrics.h"
 
 /* Statuses of answers; the last stands for all others. */
-static const unsigned statuses[RST_STATUS_KINDS]
+static const unsigned counted_statuses[RST_CALL_STATUS_COUNT]
     = { 200, 400, 401, 404, 410, 413, 503, 504, 0 };
 
 static const struct rst_metrics_label no_label = { NULL, NULL };
@@ -11,55 +11,57 @@
 void
 rst_call_stats_record (struct rst_call_stats *stats,
                        enum rst_operation operation, unsigned status,
-                       int64_t took_ms)
+                       int64_t duration_ms)
 {
-  int kind = 0;
-  int row = (int)operation - RST_OPERATION_SUBMIT;
-
-  while (kind < RST_STATUS_KINDS - 1 && statuses[kind] != status)
-    kind++;
-  stats->answers[row][kind]++;
-  rst_histogram_add (&stats->answer_ms[row], took_ms);
+  int status_index = 0;
+  int operation_index = (int)operation - RST_OPERATION_SUBMIT;
+
+  while (status_index < RST_CALL_STATUS_COUNT - 1
+         && counted_statuses[status_index] != status)
+    status_index++;
+  stats->answers[operation_index][status_index]++;
+  rst_histogram_add (&stats->answer_ms[operation_index], duration_ms);
 }
 
 static void
-add_answers (GString *page, const struct rst_call_stats *stats, int row,
-             const char *operation)
+add_answers (GString *page, const struct rst_call_stats *stats,
+             int operation_index, const char *operation)
 {
   char label[48];
 
-  for (int i = 0; i < RST_STATUS_KINDS; i++)
+  for (int i = 0; i < RST_CALL_STATUS_COUNT; i++)
     {
-      struct rst_metrics_label both = { "call", label };
+      struct rst_metrics_label call_label = { "call", label };
 
-      if (stats->answers[row][i] == 0)
+      if (stats->answers[operation_index][i] == 0)
         continue;
-      g_snprintf (label, sizeof label, "%s %u", operation, statuses[i]);
-      rst_metrics_add_sample (page, "answers_total", both,
-                              (double)stats->answers[row][i]);
+      g_snprintf (label, sizeof label, "%s %u", operation,
+                  counted_statuses[i]);
+      rst_metrics_add_sample (page, "answers_total", call_label,
+                              (double)stats->answers[operation_index][i]);
     }
 }
 
 char *
 rst_call_metrics_format_page (const struct rst_call_stats *stats,
-                              unsigned waiting, bool ready)
+                              unsigned pending_calls, bool ready)
 {
-  static const char *const operations[RST_OPERATION_KINDS]
+  static const char *const operations[RST_CALL_OPERATION_COUNT]
       = { "submit", "read", "cancel" };
   GString *page = g_string_new (NULL);
 
   rst_metrics_add_gauge (page, "ready", "Whether callers can be served.",
                          ready);
   rst_metrics_add_gauge (page, "calls_waiting",
-                         "Calls without an answer so far.", waiting);
+                         "Calls without an answer so far.", pending_calls);
   rst_metrics_begin_family (
       page, "answers_total", "counter",
       "Answers by operation and status; 0 is any other.");
-  for (int i = 0; i < RST_OPERATION_KINDS; i++)
+  for (int i = 0; i < RST_CALL_OPERATION_COUNT; i++)
     add_answers (page, stats, i, operations[i]);
   rst_metrics_begin_family (page, "answer_seconds", "histogram",
                             "Time to the answer.");
-  for (int i = 0; i < RST_OPERATION_KINDS; i++)
+  for (int i = 0; i < RST_CALL_OPERATION_COUNT; i++)
     {
       struct rst_metrics_label label = { "operation", operations[i] };
 
--- a/src/daemon/cell_metrics.h
+++ b/src/daemon/cell_metrics.h
@@ -9,10 +9,10 @@
 #include "util/histogram.h"
 
 /** Number of operations of callers; see enum rst_operation. */
-#define RST_OPERATION_KINDS 3
+#define RST_CALL_OPERATION_COUNT 3
 
 /** Number of statuses that callers' calls are counted by. */
-#define RST_STATUS_KINDS 9
+#define RST_CALL_STATUS_COUNT 9
 
 /**
  * struct rst_call_stats - Callers' calls as one entry instance answered them.
@@ -21,23 +21,23 @@
  */
 struct rst_call_stats
 {
-  uint64_t answers[RST_OPERATION_KINDS][RST_STATUS_KINDS];
-  struct rst_histogram answer_ms[RST_OPERATION_KINDS];
+  uint64_t answers[RST_CALL_OPERATION_COUNT][RST_CALL_STATUS_COUNT];
+  struct rst_histogram answer_ms[RST_CALL_OPERATION_COUNT];
 };
 
 /** rst_call_stats_record() - Counts an answered call. */
 void rst_call_stats_record (struct rst_call_stats *stats,
                             enum rst_operation operation, unsigned status,
-                            int64_t took_ms);
+                            int64_t duration_ms);
 
 /**
  * rst_call_metrics_format_page() - jobd's page, to be freed with g_free().
  * @stats: Calls answered.
- * @waiting: Calls without an answer so far.
+ * @pending_calls: Calls without an answer so far.
  * @ready: Whether callers can be served.
  */
 char *rst_call_metrics_format_page (const struct rst_call_stats *stats,
-                                    unsigned waiting, bool ready);
+                                    unsigned pending_calls, bool ready);
 
 /** rst_cell_metrics_format_page() - celld's page, to be freed with g_free().
  */
--- a/src/daemon/cell_node.c
+++ b/src/daemon/cell_node.c
@@ -140,8 +140,8 @@
   config.unix_now = node->config.unix_now;
   config.send = send_frame;
   config.close = close_link;
-  config.won = on_term_elected;
-  config.ended = on_term_ended;
+  config.on_elected = on_term_elected;
+  config.on_ended = on_term_ended;
   config.userdata = node;
   config.timing = node->config.timing;
   config.name = node->config.name;
@@ -156,13 +156,14 @@
                                  enum rst_net_event event, uint64_t link,
                                  const void *data, size_t length)
 {
-  bool ours = rst_planner_client_owns_link (node->planner_client, link);
+  bool is_planner_link
+      = rst_planner_client_owns_link (node->planner_client, link);
 
-  if (event == RST_NET_OPENED && ours)
+  if (event == RST_NET_OPENED && is_planner_link)
     rst_planner_client_link_opened (node->planner_client);
-  else if (event == RST_NET_FRAME && ours)
+  else if (event == RST_NET_FRAME && is_planner_link)
     rst_planner_client_handle_frame (node->planner_client, data, length);
-  else if (event == RST_NET_CLOSED && ours)
+  else if (event == RST_NET_CLOSED && is_planner_link)
     rst_planner_client_link_closed (node->planner_client);
   else if (event == RST_NET_OPENED && link == node->previous_planner_link)
     send_redirect (node);
@@ -230,37 +231,37 @@
 rst_cell_node_create (const struct rst_cell_node_config *config)
 {
   struct rst_cell_node *node = g_new0 (struct rst_cell_node, 1);
-  struct rst_agent_config agent = { 0 };
-  struct rst_planner_client_config planner_client = { 0 };
+  struct rst_agent_config agent_config = { 0 };
+  struct rst_planner_client_config client_config = { 0 };
 
   node->config = *config;
   node->config.name = g_strdup (config->name);
   node->config.zone = g_strdup (config->zone);
   node->config.address = g_strdup (config->address);
-  agent.backend = config->backend;
-  agent.send = send_to_planner;
-  agent.now = config->now;
-  agent.userdata = node;
-  agent.lease_ms = config->timing.lease_ms - LEASE_MARGIN_MS;
-  agent.unconfirmed_renewal_ms = config->timing.unconfirmed_renewal_ms;
-  node->agent = rst_agent_create (&agent);
-  planner_client.backend = config->backend;
-  planner_client.now = config->now;
-  planner_client.connect = open_link;
-  planner_client.close = close_link;
-  planner_client.send = send_frame;
-  planner_client.on_message = on_message;
-  planner_client.on_connected = on_connected;
-  planner_client.on_disconnected = on_disconnected;
-  planner_client.on_heartbeat = on_heartbeat;
-  planner_client.take_over = start_term;
-  planner_client.userdata = node;
-  planner_client.role = RST_ROLE_AGENT;
-  planner_client.name = node->config.name;
-  planner_client.zone = node->config.zone;
-  planner_client.jitter_ms = config->jitter_ms;
-  planner_client.standby_delay_ms = config->standby_delay_ms;
-  node->planner_client = rst_planner_client_create (&planner_client);
+  agent_config.backend = config->backend;
+  agent_config.send = send_to_planner;
+  agent_config.now = config->now;
+  agent_config.userdata = node;
+  agent_config.lease_ms = config->timing.lease_ms - LEASE_MARGIN_MS;
+  agent_config.unconfirmed_renewal_ms = config->timing.unconfirmed_renewal_ms;
+  node->agent = rst_agent_create (&agent_config);
+  client_config.backend = config->backend;
+  client_config.now = config->now;
+  client_config.connect = open_link;
+  client_config.close = close_link;
+  client_config.send = send_frame;
+  client_config.on_message = on_message;
+  client_config.on_connected = on_connected;
+  client_config.on_disconnected = on_disconnected;
+  client_config.on_heartbeat = on_heartbeat;
+  client_config.take_over = start_term;
+  client_config.userdata = node;
+  client_config.role = RST_ROLE_AGENT;
+  client_config.name = node->config.name;
+  client_config.zone = node->config.zone;
+  client_config.jitter_ms = config->jitter_ms;
+  client_config.standby_delay_ms = config->standby_delay_ms;
+  node->planner_client = rst_planner_client_create (&client_config);
   return node;
 }
 
--- a/src/daemon/entryd.c
+++ b/src/daemon/entryd.c
@@ -28,10 +28,10 @@
 #define MAILBOX_SIZE 65536
 
 /** Time between two ticks. */
-#define TICK_MS 20
+#define TICK_INTERVAL_MS 20
 
 /** Most events handled between two ticks. */
-#define EVENTS_PER_TICK 512
+#define EVENTS_PER_TICK_MAX 512
 
 /** Longest time that a planned stop waits for answers. */
 #define DRAIN_TIMEOUT_MS 20000
@@ -146,21 +146,24 @@
 static char *
 metrics_page (struct daemon *daemon)
 {
-  const struct rst_entry_counters *c = rst_entry_get_counters (daemon->entry);
+  const struct rst_entry_counters *counters
+      = rst_entry_get_counters (daemon->entry);
   GString *page = g_string_new ("");
 
   rst_metrics_add_counter (page, "requests_total", "Requests taken.",
-                           c->requests);
+                           counters->requests);
   rst_metrics_add_counter (page, "answered_total", "Requests answered.",
-                           c->answered);
+                           counters->answered);
   rst_metrics_add_counter (page, "not_run_total", "Requests not run.",
-                           c->not_run);
+                           counters->not_run);
   rst_metrics_add_counter (page, "unknown_total",
-                           "Requests whose outcome is unknown.", c->unknown);
+                           "Requests whose outcome is unknown.",
+                           counters->unknown);
   rst_metrics_add_counter (page, "unauthorized_total",
-                           "Requests without a valid key.", c->unauthorized);
+                           "Requests without a valid key.",
+                           counters->unauthorized);
   rst_metrics_add_counter (page, "retries_total", "Further attempts.",
-                           c->retries);
+                           counters->retries);
   rst_metrics_add_gauge (page, "pending", "Requests that wait for an answer.",
                          (double)rst_entry_count_pending (daemon->entry));
   rst_metrics_add_gauge (page, "ready", "Whether it can serve callers.",
@@ -271,7 +274,7 @@
   struct daemon *daemon = userdata;
   struct rst_event *event = g_new0 (struct rst_event, 1);
 
-  event->kind = RST_EVENT_HTTP;
+  event->kind = RST_EVENT_HTTP_REQUEST;
   event->request = request;
   rst_event_post (daemon->mailbox, event);
 }
@@ -281,16 +284,16 @@
 {
   switch (event->kind)
     {
-    case RST_EVENT_OPENED:
+    case RST_EVENT_LINK_OPENED:
       rst_entry_handle_link_opened (daemon->entry, event->link);
       break;
-    case RST_EVENT_CLOSED:
+    case RST_EVENT_LINK_CLOSED:
       rst_entry_handle_link_closed (daemon->entry, event->link);
       break;
     case RST_EVENT_MESSAGE:
       rst_entry_handle_message (daemon->entry, event->link, &event->message);
       break;
-    case RST_EVENT_HTTP:
+    case RST_EVENT_HTTP_REQUEST:
       handle_request (daemon, event->request);
       break;
     default:
@@ -337,10 +340,10 @@
 
       if (now < daemon->next_tick)
         rst_mailbox_wait (daemon->mailbox, (int)(daemon->next_tick - now));
-      handle_events (daemon, EVENTS_PER_TICK);
+      handle_events (daemon, EVENTS_PER_TICK_MAX);
       if (rst_os_now () >= daemon->next_tick)
         {
-          daemon->next_tick = rst_os_now () + TICK_MS;
+          daemon->next_tick = rst_os_now () + TICK_INTERVAL_MS;
           rst_entry_tick (daemon->entry);
         }
     }
--- a/src/daemon/jobd.c
+++ b/src/daemon/jobd.c
@@ -32,7 +32,7 @@
 #define UNSENT_TIMEOUT_MS 1500
 
 /** Bound on calls that wait for an answer. */
-#define PENDING_MAX 2000
+#define PENDING_CALLS_MAX 2000
 
 /** A stopping process answers on for this long, not ready, so that the
     balancer takes it out: two missed checks, one a second, and a margin. */
@@ -87,7 +87,7 @@
   struct rst_planner_client *planner_client;
   struct rst_http_server *caller_server;
   struct rst_http_server *readiness_server;
-  GHashTable *pending;
+  GHashTable *pending_calls;
   struct rst_call_stats stats;
   uint64_t next_number;
   atomic_bool ready;
@@ -99,7 +99,7 @@
 };
 
 /* A call that waits for the planner's answer. */
-struct pending
+struct pending_call
 {
   uint64_t number;
   struct rst_http_request *request;
@@ -115,10 +115,10 @@
 static void
 free_pending_call (gpointer data)
 {
-  struct pending *pending = data;
+  struct pending_call *call = data;
 
-  g_byte_array_free (pending->frame, TRUE);
-  g_free (pending);
+  g_byte_array_free (call->frame, TRUE);
+  g_free (call);
 }
 
 static void
@@ -140,19 +140,19 @@
 
 /* Gives a call its answer and counts it. */
 static void
-finish_call (struct jobd *jobd, struct pending *pending, unsigned status,
+finish_call (struct jobd *jobd, struct pending_call *call, unsigned status,
              const char *text, unsigned retry_s)
 {
-  rst_call_stats_record (&jobd->stats, pending->operation, status,
-                         rst_os_now () - pending->received_at);
-  send_reply (pending->request, status, text, retry_s);
-  g_hash_table_remove (jobd->pending, &pending->number);
+  rst_call_stats_record (&jobd->stats, call->operation, status,
+                         rst_os_now () - call->received_at);
+  send_reply (call->request, status, text, retry_s);
+  g_hash_table_remove (jobd->pending_calls, &call->number);
 }
 
 /* Ends a call without success; its path holds the job's id. */
 static void
-reject_call (struct jobd *jobd, struct pending *pending, unsigned status,
-             const char *why, unsigned retry_s)
+reject_call (struct jobd *jobd, struct pending_call *call, unsigned status,
+             const char *reason, unsigned retry_s)
 {
   char text[256];
 
@@ -163,23 +163,23 @@
 
       g_snprintf (number, sizeof number, "%u", status);
       g_snprintf (age, sizeof age, "%lld",
-                  (long long)(rst_os_now () - pending->received_at));
+                  (long long)(rst_os_now () - call->received_at));
       rst_info (LOG_DOMAIN, "Call turned away.", "path",
-                rst_http_request_path (pending->request), "status", number,
-                "why", why, "age_ms", age, "passed_on",
-                pending->sent || pending->sent_on_lost_link ? "yes" : "no");
+                rst_http_request_path (call->request), "status", number, "why",
+                reason, "age_ms", age, "passed_on",
+                call->sent || call->sent_on_lost_link ? "yes" : "no");
     }
-  g_snprintf (text, sizeof text, "{\"error\":\"%s\"}\n", why);
-  finish_call (jobd, pending, status, text, retry_s);
+  g_snprintf (text, sizeof text, "{\"error\":\"%s\"}\n", reason);
+  finish_call (jobd, call, status, text, retry_s);
 }
 
 static void
-forward_call (struct jobd *jobd, struct pending *pending)
+forward_call (struct jobd *jobd, struct pending_call *call)
 {
-  if (!jobd->serving || pending->sent)
+  if (!jobd->serving || call->sent)
     return;
-  pending->sent = rst_planner_client_send (
-      jobd->planner_client, pending->frame->data, pending->frame->len);
+  call->sent = rst_planner_client_send (jobd->planner_client,
+                                        call->frame->data, call->frame->len);
 }
 
 static const char *
@@ -192,22 +192,22 @@
 
 /* The key stands in a header of its own. */
 static void
-pack_call (struct pending *pending, const struct rst_jobdesc *desc)
+pack_call (struct pending_call *call, const struct rst_jobdesc *desc)
 {
-  const struct rst_http_request *request = pending->request;
+  const struct rst_http_request *request = call->request;
   struct rst_pack pack;
 
   rst_pack_init (&pack, desc != NULL ? 7 : 6);
   rst_pack_int (&pack, RST_MSG_CALL);
-  rst_pack_int (&pack, (int64_t)pending->number);
-  rst_pack_int (&pack, pending->operation);
+  rst_pack_int (&pack, (int64_t)call->number);
+  rst_pack_int (&pack, call->operation);
   rst_pack_text (&pack, get_header (request, "Host"));
   rst_pack_text (&pack, rst_http_request_path (request));
   rst_pack_text (&pack, get_header (request, RST_PLATFORM_API_KEY_HEADER));
   if (desc != NULL)
     rst_jobdesc_pack (&pack, desc);
-  pending->frame = g_byte_array_new ();
-  g_byte_array_append (pending->frame, (const guint8 *)pack.buffer.data,
+  call->frame = g_byte_array_new ();
+  g_byte_array_append (call->frame, (const guint8 *)pack.buffer.data,
                        (guint)pack.buffer.size);
   rst_pack_clear (&pack);
 }
@@ -230,7 +230,7 @@
 }
 
 static rst_ms
-caller_wait_ms (const struct rst_http_request *request)
+get_caller_wait_ms (const struct rst_http_request *request)
 {
   const char *text
       = rst_http_request_header (request, RST_PLATFORM_DEADLINE_HEADER);
@@ -246,7 +246,7 @@
   enum rst_operation operation;
   struct rst_jobdesc *desc = NULL;
   const char *problem = NULL;
-  struct pending *pending;
+  struct pending_call *call;
   rst_ms now = rst_os_now ();
 
   if (!read_operation (request, &operation))
@@ -254,7 +254,7 @@
       send_error (request, 405, "method: must be GET, POST or DELETE", 0);
       return;
     }
-  if (g_hash_table_size (jobd->pending) >= PENDING_MAX)
+  if (g_hash_table_size (jobd->pending_calls) >= PENDING_CALLS_MAX)
     {
       send_error (request, 503, "too many calls wait", 1);
       return;
@@ -266,17 +266,17 @@
       if (desc == NULL)
         rst_info (LOG_DOMAIN, "Job can't be read.", "problem", problem);
     }
-  pending = g_new0 (struct pending, 1);
-  pending->number = jobd->next_number++;
-  pending->request = request;
-  pending->operation = operation;
-  pending->received_at = now;
-  pending->answer_deadline
-      = now + caller_wait_ms (request) - DEADLINE_MARGIN_MS;
-  pack_call (pending, desc);
+  call = g_new0 (struct pending_call, 1);
+  call->number = jobd->next_number++;
+  call->request = request;
+  call->operation = operation;
+  call->received_at = now;
+  call->answer_deadline
+      = now + get_caller_wait_ms (request) - DEADLINE_MARGIN_MS;
+  pack_call (call, desc);
   rst_jobdesc_destroy (desc);
-  g_hash_table_insert (jobd->pending, &pending->number, pending);
-  forward_call (jobd, pending);
+  g_hash_table_insert (jobd->pending_calls, &call->number, call);
+  forward_call (jobd, call);
 }
 
 static void
@@ -286,7 +286,7 @@
   char *page;
 
   page = rst_call_metrics_format_page (&jobd->stats,
-                                       g_hash_table_size (jobd->pending),
+                                       g_hash_table_size (jobd->pending_calls),
                                        atomic_load (&jobd->ready));
   rst_http_request_reply (request, 200, "text/plain", page, strlen (page), 0);
   g_free (page);
@@ -304,7 +304,7 @@
 }
 
 static void
-finish_with_state (struct jobd *jobd, struct pending *pending,
+finish_with_state (struct jobd *jobd, struct pending_call *call,
                    enum rst_job_state state)
 {
   static const char *const names[]
@@ -312,43 +312,43 @@
   char text[64];
 
   g_snprintf (text, sizeof text, "{\"state\":\"%s\"}\n", names[state]);
-  finish_call (jobd, pending, 200, text, 0);
+  finish_call (jobd, call, 200, text, 0);
 }
 
 static void
-finish_with_count (struct jobd *jobd, struct pending *pending, int64_t count)
+finish_with_count (struct jobd *jobd, struct pending_call *call, int64_t count)
 {
   char text[64];
 
   g_snprintf (text, sizeof text, "{\"pending\":%lld}\n", (long long)count);
-  finish_call (jobd, pending, 200, text, 0);
+  finish_call (jobd, call, 200, text, 0);
 }
 
 /* Answers of the planner that are no success, as a status and its reason. */
 static void
-reject_with_outcome (struct jobd *jobd, struct pending *pending,
+reject_with_outcome (struct jobd *jobd, struct pending_call *call,
                      enum rst_outcome outcome, unsigned retry_s)
 {
   switch (outcome)
     {
     case RST_OUTCOME_NO_QUEUE:
-      reject_call (jobd, pending, 404, "no such queue", 0);
+      reject_call (jobd, call, 404, "no such queue", 0);
       break;
     case RST_OUTCOME_INVALID_KEY:
-      reject_call (jobd, pending, 401, "unknown key", 0);
+      reject_call (jobd, call, 401, "unknown key", 0);
       break;
     case RST_OUTCOME_NO_JOB:
-      reject_call (jobd, pending, 410, "no such job", 0);
+      reject_call (jobd, call, 410, "no such job", 0);
       break;
     case RST_OUTCOME_MALFORMED:
-      reject_call (jobd, pending, 400, "not a job", 0);
+      reject_call (jobd, call, 400, "not a job", 0);
       break;
     case RST_OUTCOME_REJECTED:
-      reject_call (jobd, pending, pending->sent_on_lost_link ? 504 : 503,
+      reject_call (jobd, call, call->sent_on_lost_link ? 504 : 503,
                    "turned away", retry_s);
       break;
     default:
-      reject_call (jobd, pending, 504, "not known", retry_s);
+      reject_call (jobd, call, 504, "not known", retry_s);
       break;
     }
 }
@@ -361,18 +361,19 @@
   int64_t state = rst_reader_read_int (reader);
   int64_t count = rst_reader_read_int (reader);
   unsigned retry_s = (unsigned)rst_reader_read_int (reader);
-  struct pending *pending = g_hash_table_lookup (jobd->pending, &number);
+  struct pending_call *call
+      = g_hash_table_lookup (jobd->pending_calls, &number);
 
-  if (pending == NULL || reader->bad)
+  if (call == NULL || reader->bad)
     return;
   if (outcome == RST_OUTCOME_OK)
-    finish_call (jobd, pending, 200, "{\"accepted\":true}\n", 0);
+    finish_call (jobd, call, 200, "{\"accepted\":true}\n", 0);
   else if (outcome == RST_OUTCOME_STATE)
-    finish_with_state (jobd, pending, (enum rst_job_state)state);
+    finish_with_state (jobd, call, (enum rst_job_state)state);
   else if (outcome == RST_OUTCOME_COUNT)
-    finish_with_count (jobd, pending, count);
+    finish_with_count (jobd, call, count);
   else
-    reject_with_outcome (jobd, pending, outcome, retry_s);
+    reject_with_outcome (jobd, call, outcome, retry_s);
 }
 
 static void
@@ -393,7 +394,7 @@
     rst_info (LOG_DOMAIN, "Callers are served.");
   jobd->serving = serving;
   atomic_store (&jobd->ready, serving && !jobd->stopping);
-  g_hash_table_iter_init (&iter, jobd->pending);
+  g_hash_table_iter_init (&iter, jobd->pending_calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     forward_call (jobd, value);
 }
@@ -407,13 +408,13 @@
 
   rst_info (LOG_DOMAIN, "Planner lost.");
   jobd->serving = false;
-  g_hash_table_iter_init (&iter, jobd->pending);
+  g_hash_table_iter_init (&iter, jobd->pending_calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      struct pending *pending = value;
+      struct pending_call *call = value;
 
-      pending->sent_on_lost_link |= pending->sent;
-      pending->sent = false;
+      call->sent_on_lost_link |= call->sent;
+      call->sent = false;
     }
 }
 
@@ -428,19 +429,19 @@
 static void
 expire_calls (struct jobd *jobd, rst_ms now)
 {
-  GList *all = g_hash_table_get_values (jobd->pending);
+  GList *all = g_hash_table_get_values (jobd->pending_calls);
 
-  for (GList *item = all; item != NULL; item = item->next)
+  for (GList *node = all; node != NULL; node = node->next)
     {
-      struct pending *pending = item->data;
-      bool sent = pending->sent || pending->sent_on_lost_link;
+      struct pending_call *call = node->data;
+      bool sent = call->sent || call->sent_on_lost_link;
 
-      if (sent && now >= pending->answer_deadline)
-        reject_call (jobd, pending, 504, "no answer in time", 0);
+      if (sent && now >= call->answer_deadline)
+        reject_call (jobd, call, 504, "no answer in time", 0);
       else if (!sent
-               && (now >= pending->answer_deadline
-                   || now - pending->received_at >= UNSENT_TIMEOUT_MS))
-        reject_call (jobd, pending, 503, "no planner", 1);
+               && (now >= call->answer_deadline
+                   || now - call->received_at >= UNSENT_TIMEOUT_MS))
+        reject_call (jobd, call, 503, "no planner", 1);
     }
   g_list_free (all);
 }
@@ -467,7 +468,7 @@
   struct jobd *jobd = userdata;
   rst_ms now = rst_os_now ();
   rst_ms wake = rst_planner_client_run (jobd->planner_client);
-  bool any = g_hash_table_size (jobd->pending) > 0;
+  bool any = g_hash_table_size (jobd->pending_calls) > 0;
 
   if (any && now >= jobd->next_deadline_check)
     {
@@ -526,27 +527,27 @@
 static void
 create_planner_client (struct jobd *jobd)
 {
-  struct rst_planner_client_config planner_client = { 0 };
+  struct rst_planner_client_config client_config = { 0 };
 
-  planner_client.backend = rst_cell_loop_wrap_backend (
+  client_config.backend = rst_cell_loop_wrap_backend (
       jobd->loop, rst_adapter_get_backend (jobd->adapter));
-  planner_client.now = rst_os_now;
-  planner_client.connect = open_link;
-  planner_client.close = close_link;
-  planner_client.send = send_frame;
-  planner_client.on_message = on_message;
-  planner_client.on_connected = on_connected;
-  planner_client.on_disconnected = on_disconnected;
-  planner_client.on_heartbeat = on_heartbeat;
-  planner_client.userdata = jobd;
-  planner_client.role = RST_ROLE_ENTRY;
-  planner_client.name = jobd->settings.name;
-  planner_client.zone = jobd->settings.zone;
-  jobd->planner_client = rst_planner_client_create (&planner_client);
+  client_config.now = rst_os_now;
+  client_config.connect = open_link;
+  client_config.close = close_link;
+  client_config.send = send_frame;
+  client_config.on_message = on_message;
+  client_config.on_connected = on_connected;
+  client_config.on_disconnected = on_disconnected;
+  client_config.on_heartbeat = on_heartbeat;
+  client_config.userdata = jobd;
+  client_config.role = RST_ROLE_ENTRY;
+  client_config.name = jobd->settings.name;
+  client_config.zone = jobd->settings.zone;
+  jobd->planner_client = rst_planner_client_create (&client_config);
 }
 
 static bool
-open_servers (struct jobd *jobd)
+start_servers (struct jobd *jobd)
 {
   struct rst_http_server_config config = { 0 };
 
@@ -604,8 +605,8 @@
   g_strlcpy (log.level, jobd.settings.log_level, sizeof log.level);
   rst_log_init (program.name, &log);
   jobd.next_number = 1;
-  jobd.pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
-                                        free_pending_call);
+  jobd.pending_calls = g_hash_table_new_full (g_int64_hash, g_int64_equal,
+                                              NULL, free_pending_call);
   jobd.loop = rst_cell_loop_create (&loop);
   jobd.client = rst_http_client_create (64, 0);
   if (jobd.loop == NULL || jobd.client == NULL)
@@ -613,7 +614,7 @@
   jobd.adapter = rst_adapter_create (jobd.client, jobd.settings.store, "");
   create_planner_client (&jobd);
   if (rst_cell_loop_listen (jobd.loop, NULL) != RST_TRANSPORT_OK
-      || !open_servers (&jobd))
+      || !start_servers (&jobd))
     return EXIT_FAILURE;
   rst_info (LOG_DOMAIN, "Started.", "name", jobd.settings.name, "listen",
             rst_http_server_address (jobd.caller_server));
--- a/src/daemon/link.c
+++ b/src/daemon/link.c
@@ -10,11 +10,11 @@
 #define LOG_DOMAIN "link"
 
 /** Bound on unsent bytes of one link. */
-#define LINK_BUFFER_MAX (16 * 1024 * 1024)
+#define LINK_BUFFER_MAX_BYTES (16 * 1024 * 1024)
 
 /** Time between heartbeats, and the silence that closes a link. */
 #define LINK_HEARTBEAT_MS 500
-#define LINK_SILENT_MS 2500
+#define LINK_SILENCE_TIMEOUT_MS 2500
 
 /** Pause before a full mailbox is tried again, in microseconds. */
 #define MAILBOX_FULL_PAUSE_US 500
@@ -81,9 +81,10 @@
   if (event == RST_NET_FRAME)
     post_message (link, connection, data, length);
   else
-    post_link_event (
-        link, event == RST_NET_OPENED ? RST_EVENT_OPENED : RST_EVENT_CLOSED,
-        connection);
+    post_link_event (link,
+                     event == RST_NET_OPENED ? RST_EVENT_LINK_OPENED
+                                             : RST_EVENT_LINK_CLOSED,
+                     connection);
 }
 
 static uint64_t
@@ -129,9 +130,9 @@
 
   config.listen = listen;
   config.max_frame_bytes = RST_MESSAGE_MAX_BYTES;
-  config.max_unsent_bytes = LINK_BUFFER_MAX;
+  config.max_unsent_bytes = LINK_BUFFER_MAX_BYTES;
   config.heartbeat_interval_ms = LINK_HEARTBEAT_MS;
-  config.receive_timeout_ms = LINK_SILENT_MS;
+  config.receive_timeout_ms = LINK_SILENCE_TIMEOUT_MS;
   config.handler = rst_link_net_handle_event;
   config.userdata = userdata;
   return config;
--- a/src/daemon/link.h
+++ b/src/daemon/link.h
@@ -13,19 +13,19 @@
 
 /**
  * enum rst_event_kind - What the thread of decisions is told.
- * @RST_EVENT_OPENED: A link was opened.
- * @RST_EVENT_CLOSED: A link was closed.
+ * @RST_EVENT_LINK_OPENED: A link was opened.
+ * @RST_EVENT_LINK_CLOSED: A link was closed.
  * @RST_EVENT_MESSAGE: A message arrived.
- * @RST_EVENT_PLATFORM: A call to an outside system ended.
- * @RST_EVENT_HTTP: An HTTP request arrived.
+ * @RST_EVENT_PLATFORM_REQUEST: A call to an outside system ended.
+ * @RST_EVENT_HTTP_REQUEST: An HTTP request arrived.
  */
 enum rst_event_kind
 {
-  RST_EVENT_OPENED,
-  RST_EVENT_CLOSED,
+  RST_EVENT_LINK_OPENED,
+  RST_EVENT_LINK_CLOSED,
   RST_EVENT_MESSAGE,
-  RST_EVENT_PLATFORM,
-  RST_EVENT_HTTP,
+  RST_EVENT_PLATFORM_REQUEST,
+  RST_EVENT_HTTP_REQUEST,
 };
 
 struct rst_platform_request;
@@ -36,7 +36,7 @@
  * @kind: What happened.
  * @link: The link.
  * @message: The message; cleared with the event.
- * @platform: The ended call.
+ * @platform_request: The ended call.
  * @request: The HTTP request.
  */
 struct rst_event
@@ -44,7 +44,7 @@
   enum rst_event_kind kind;
   uint64_t link;
   struct rst_message message;
-  struct rst_platform_request *platform;
+  struct rst_platform_request *platform_request;
   struct rst_http_request *request;
 };
 
--- a/src/daemon/metrics.c
+++ b/src/daemon/metrics.c
@@ -69,15 +69,15 @@
                            struct rst_metrics_label label,
                            const struct rst_histogram *histogram)
 {
-  uint64_t below = 0;
+  uint64_t cumulative = 0;
   char bound[24];
 
   for (int i = 0; i < RST_HISTOGRAM_BOUND_COUNT; i++)
     {
-      below += histogram->counts[i];
+      cumulative += histogram->counts[i];
       g_snprintf (bound, sizeof bound, "%g",
                   (double)rst_histogram_bound_ms (i) / 1000.0);
-      write_sample (page, name, "_bucket", label, bound, (double)below);
+      write_sample (page, name, "_bucket", label, bound, (double)cumulative);
     }
   write_sample (page, name, "_bucket", label, "+Inf",
                 (double)histogram->total);
--- a/src/daemon/prefix_watch.c
+++ b/src/daemon/prefix_watch.c
@@ -15,10 +15,10 @@
   /* Keys seen while the prefix is read whole; NULL while it is watched. */
   GHashTable *listed_keys;
   int64_t revision;
-  char after[256];
+  char last_key[256];
   bool call_pending;
   bool destroyed;
-  rst_ms next;
+  rst_ms next_call_at;
 };
 
 static GHashTable *
@@ -30,7 +30,7 @@
 static void
 start_list (struct rst_prefix_watch *watch)
 {
-  watch->after[0] = '\0';
+  watch->last_key[0] = '\0';
   if (watch->listed_keys != NULL)
     g_hash_table_destroy (watch->listed_keys);
   watch->listed_keys = create_key_set ();
@@ -67,13 +67,14 @@
 }
 
 static void
-apply (struct rst_prefix_watch *watch, const struct rst_store_item *item)
+deliver_item (struct rst_prefix_watch *watch,
+              const struct rst_store_item *item)
 {
   if (item->deleted)
     g_hash_table_remove (watch->known_keys, item->key);
   else
     g_hash_table_add (watch->known_keys, g_strdup (item->key));
-  watch->config.apply (watch->config.userdata, item);
+  watch->config.on_item (watch->config.userdata, item);
 }
 
 /* Keys known before that a whole reading did not show are gone. */
@@ -84,14 +85,14 @@
 
   for (GList *at = keys; at != NULL; at = at->next)
     {
-      struct rst_store_item gone = { 0 };
+      struct rst_store_item absent = { 0 };
 
       if (g_hash_table_contains (watch->listed_keys, at->data))
         continue;
-      gone.key = g_strdup (at->data);
-      gone.deleted = true;
-      apply (watch, &gone);
-      g_free (gone.key);
+      absent.key = g_strdup (at->data);
+      absent.deleted = true;
+      deliver_item (watch, &absent);
+      g_free (absent.key);
     }
   g_list_free (keys);
 }
@@ -101,15 +102,15 @@
                   const struct rst_store_answer *answer)
 {
   /* What changes while pages are read is seen by the watch. */
-  if (watch->after[0] == '\0')
+  if (watch->last_key[0] == '\0')
     watch->revision = answer->revision;
   for (guint i = 0; i < answer->items->len; i++)
     {
       const struct rst_store_item *item = g_ptr_array_index (answer->items, i);
 
       g_hash_table_add (watch->listed_keys, g_strdup (item->key));
-      g_strlcpy (watch->after, item->key, sizeof watch->after);
-      apply (watch, item);
+      g_strlcpy (watch->last_key, item->key, sizeof watch->last_key);
+      deliver_item (watch, item);
     }
   if (answer->has_more)
     return;
@@ -124,7 +125,7 @@
                 const struct rst_store_answer *answer)
 {
   for (guint i = 0; i < answer->items->len; i++)
-    apply (watch, g_ptr_array_index (answer->items, i));
+    deliver_item (watch, g_ptr_array_index (answer->items, i));
   watch->revision = MAX (watch->revision, answer->revision);
 }
 
@@ -140,10 +141,10 @@
       rst_store_answer_free (answer);
       return;
     }
-  watch->next = watch->config.now () + watch->config.pause_ms;
+  watch->next_call_at = watch->config.now () + watch->config.pause_ms;
   if (answer->result == RST_RESULT_OK && watch->listed_keys != NULL)
     {
-      watch->next = watch->config.now ();
+      watch->next_call_at = watch->config.now ();
       handle_list_page (watch, answer);
     }
   else if (answer->result == RST_RESULT_OK)
@@ -152,7 +153,7 @@
            && watch->listed_keys == NULL)
     start_list (watch);
   else
-    watch->next = watch->config.now () + RETRY_DELAY_MS;
+    watch->next_call_at = watch->config.now () + RETRY_DELAY_MS;
   rst_store_answer_free (answer);
 }
 
@@ -164,12 +165,12 @@
 
   if (watch->call_pending)
     return now + IDLE_WAKE_MS;
-  if (now < watch->next)
-    return watch->next;
+  if (now < watch->next_call_at)
+    return watch->next_call_at;
   watch->call_pending = true;
   if (watch->listed_keys != NULL)
     backend->store_range (backend->userdata, watch->config.prefix,
-                          watch->after, on_answer, watch);
+                          watch->last_key, on_answer, watch);
   else
     backend->store_watch (backend->userdata, watch->config.prefix,
                           watch->revision, watch->config.wait_ms, on_answer,
--- a/src/daemon/prefix_watch.h
+++ b/src/daemon/prefix_watch.h
@@ -19,7 +19,7 @@
  * @prefix: A static string.
  * @wait_ms: How long a watch waits.
  * @pause_ms: Pause between two watches, in which changes gather.
- * @apply: Takes an item.
+ * @on_item: Takes an item.
  * @on_list_complete: The prefix was read whole.
  * @userdata: Passed to both.
  */
@@ -30,7 +30,7 @@
   const char *prefix;
   rst_ms wait_ms;
   rst_ms pause_ms;
-  void (*apply) (void *userdata, const struct rst_store_item *item);
+  void (*on_item) (void *userdata, const struct rst_store_item *item);
   void (*on_list_complete) (void *userdata);
   void *userdata;
 };
--- a/src/daemon/schedd.c
+++ b/src/daemon/schedd.c
@@ -30,15 +30,15 @@
 #define MAILBOX_SIZE 65536
 
 /** Time between two ticks. */
-#define TICK_MS 20
+#define TICK_INTERVAL_MS 20
 
 /** Most events handled between two ticks. */
-#define EVENTS_PER_TICK 512
+#define EVENTS_PER_TICK_MAX 512
 
 /** Bounds of the status pages. */
-#define STATUS_BODY_MAX 4096
-#define STATUS_CONNECTIONS 64
-#define STATUS_IDLE_S 30
+#define STATUS_BODY_MAX_BYTES 4096
+#define STATUS_CONNECTIONS_MAX 64
+#define STATUS_IDLE_TIMEOUT_S 30
 
 struct settings
 {
@@ -100,7 +100,7 @@
   struct rst_link_net link;
   struct rst_http_server *server;
   struct rst_platform_http *platform;
-  struct rst_scheduler *sched;
+  struct rst_scheduler *scheduler;
   pthread_t thread;
   atomic_bool stop_requested;
   atomic_bool done;
@@ -179,39 +179,40 @@
 static char *
 metrics_page (struct daemon *daemon)
 {
-  const struct rst_scheduler_counters *c
-      = rst_scheduler_get_counters (daemon->sched);
+  const struct rst_scheduler_counters *counters
+      = rst_scheduler_get_counters (daemon->scheduler);
   GString *page = g_string_new ("");
 
   rst_metrics_add_counter (page, "queries_total", "Queries taken.",
-                           c->queries);
+                           counters->queries);
   rst_metrics_add_counter (page, "answered_total", "Queries answered.",
-                           c->answered);
+                           counters->answered);
   rst_metrics_add_counter (page, "not_run_total", "Queries not run.",
-                           c->not_run);
+                           counters->not_run);
   rst_metrics_add_counter (page, "unknown_total",
-                           "Queries whose outcome is unknown.", c->unknown);
+                           "Queries whose outcome is unknown.",
+                           counters->unknown);
   rst_metrics_add_counter (page, "retries_total", "Further attempts.",
-                           c->retries);
+                           counters->retries);
   rst_metrics_add_counter (page, "task_starts_total", "Tasks started.",
-                           c->starts);
+                           counters->starts);
   rst_metrics_add_counter (page, "task_start_failures_total",
                            "Tasks that a worker did not start.",
-                           c->start_failures);
+                           counters->start_failures);
   rst_metrics_add_counter (page, "store_reads_total", "Reads of the store.",
-                           c->store_reads);
+                           counters->store_reads);
   rst_metrics_add_counter (page, "store_writes_total", "Writes of the store.",
-                           c->store_writes);
+                           counters->store_writes);
   rst_metrics_add_counter (page, "messages_in_total", "Messages received.",
-                           c->messages_in);
+                           counters->messages_in);
   rst_metrics_add_counter (page, "messages_out_total", "Messages sent.",
-                           c->messages_out);
+                           counters->messages_out);
   rst_metrics_add_counter (page, "takeovers_total", "Tenures of others ended.",
-                           c->takeovers);
+                           counters->takeovers);
   rst_metrics_add_counter (page, "tenures_lost_total", "Own tenures ended.",
-                           c->fenced);
+                           counters->fenced);
   rst_metrics_add_gauge (page, "ready", "Whether it takes work.",
-                         rst_scheduler_is_ready (daemon->sched));
+                         rst_scheduler_is_ready (daemon->scheduler));
   rst_metrics_add_process (page);
   return g_string_free (page, FALSE);
 }
@@ -220,7 +221,7 @@
 serve_status (struct daemon *daemon, struct rst_http_request *request)
 {
   const char *path = rst_http_request_path (request);
-  bool ready = rst_scheduler_is_ready (daemon->sched);
+  bool ready = rst_scheduler_is_ready (daemon->scheduler);
   char *text;
 
   if (strcmp (path, "/livez") == 0)
@@ -231,7 +232,7 @@
                                        : "{\"ready\":false}\n");
   else if (strcmp (path, "/status") == 0)
     {
-      text = rst_scheduler_format_status (daemon->sched);
+      text = rst_scheduler_format_status (daemon->scheduler);
       rst_http_request_reply_json (request, 200, text);
       free (text);
     }
@@ -256,19 +257,19 @@
   struct daemon *daemon = userdata;
   struct rst_event *event = g_new0 (struct rst_event, 1);
 
-  event->kind = RST_EVENT_HTTP;
+  event->kind = RST_EVENT_HTTP_REQUEST;
   event->request = request;
   rst_event_post (daemon->mailbox, event);
 }
 
 static void
-on_platform (struct rst_platform_request *ended, void *userdata)
+on_platform (struct rst_platform_request *request, void *userdata)
 {
   struct daemon *daemon = userdata;
   struct rst_event *event = g_new0 (struct rst_event, 1);
 
-  event->kind = RST_EVENT_PLATFORM;
-  event->platform = ended;
+  event->kind = RST_EVENT_PLATFORM_REQUEST;
+  event->platform_request = request;
   rst_event_post (daemon->mailbox, event);
 }
 
@@ -277,20 +278,20 @@
 {
   switch (event->kind)
     {
-    case RST_EVENT_OPENED:
-      rst_scheduler_handle_link_opened (daemon->sched, event->link);
+    case RST_EVENT_LINK_OPENED:
+      rst_scheduler_handle_link_opened (daemon->scheduler, event->link);
       break;
-    case RST_EVENT_CLOSED:
-      rst_scheduler_handle_link_closed (daemon->sched, event->link);
+    case RST_EVENT_LINK_CLOSED:
+      rst_scheduler_handle_link_closed (daemon->scheduler, event->link);
       break;
     case RST_EVENT_MESSAGE:
-      rst_scheduler_handle_message (daemon->sched, event->link,
+      rst_scheduler_handle_message (daemon->scheduler, event->link,
                                     &event->message);
       break;
-    case RST_EVENT_PLATFORM:
-      rst_platform_request_complete (event->platform);
+    case RST_EVENT_PLATFORM_REQUEST:
+      rst_platform_request_complete (event->platform_request);
       break;
-    case RST_EVENT_HTTP:
+    case RST_EVENT_HTTP_REQUEST:
       serve_status (daemon, event->request);
       break;
     }
@@ -312,20 +313,20 @@
 {
   struct daemon *daemon = userdata;
 
-  while (!rst_scheduler_is_stopped (daemon->sched))
+  while (!rst_scheduler_is_stopped (daemon->scheduler))
     {
       rst_ms now = rst_os_now ();
 
       if (now < daemon->next_tick)
         rst_mailbox_wait (daemon->mailbox, (int)(daemon->next_tick - now));
-      handle_events (daemon, EVENTS_PER_TICK);
+      handle_events (daemon, EVENTS_PER_TICK_MAX);
       if (rst_os_now () >= daemon->next_tick)
         {
-          daemon->next_tick = rst_os_now () + TICK_MS;
-          rst_scheduler_tick (daemon->sched);
+          daemon->next_tick = rst_os_now () + TICK_INTERVAL_MS;
+          rst_scheduler_tick (daemon->scheduler);
         }
       if (atomic_load (&daemon->stop_requested))
-        rst_scheduler_begin_stop (daemon->sched);
+        rst_scheduler_begin_stop (daemon->scheduler);
     }
   return NULL;
 }
@@ -342,9 +343,9 @@
   struct rst_http_server_config status = { 0 };
 
   status.address = settings->status_listen;
-  status.max_body_bytes = STATUS_BODY_MAX;
-  status.max_connections = STATUS_CONNECTIONS;
-  status.idle_timeout_s = STATUS_IDLE_S;
+  status.max_body_bytes = STATUS_BODY_MAX_BYTES;
+  status.max_connections = STATUS_CONNECTIONS_MAX;
+  status.idle_timeout_s = STATUS_IDLE_TIMEOUT_S;
   status.handler = on_request;
   status.userdata = daemon;
   if (rst_net_create (&net, &daemon->link.net) != RST_TRANSPORT_OK)
@@ -386,7 +387,7 @@
 
   for (size_t i = 0; i < count; i++)
     rst_scheduler_add_seed_address (
-        daemon->sched,
+        daemon->scheduler,
         json_object_get_string (json_object_array_get_idx (list, i)));
 }
 
@@ -410,7 +411,7 @@
   config.list_interval_ms = settings->list_interval_ms;
   config.clock = rst_os_clock ();
   config.seed = rst_os_random ();
-  daemon->sched = rst_scheduler_create (
+  daemon->scheduler = rst_scheduler_create (
       &config, rst_platform_http_get_table (), daemon->platform,
       rst_link_net_get_ops (), &daemon->link);
   add_peers (daemon);
@@ -421,12 +422,12 @@
 {
   if (daemon->platform != NULL)
     rst_platform_http_close (daemon->platform);
-  if (daemon->sched != NULL)
+  if (daemon->scheduler != NULL)
     handle_events (daemon, INT32_MAX);
   rst_mailbox_close (daemon->mailbox);
   rst_net_destroy (daemon->link.net);
   rst_http_server_destroy (daemon->server);
-  rst_scheduler_destroy (daemon->sched);
+  rst_scheduler_destroy (daemon->scheduler);
   rst_platform_http_destroy (daemon->platform);
   for (struct rst_event *event = rst_mailbox_take (daemon->mailbox);
        event != NULL; event = rst_mailbox_take (daemon->mailbox))
--- a/src/daemon/term.c
+++ b/src/daemon/term.c
@@ -30,7 +30,7 @@
 rst_term_finish_call (struct rst_term *term)
 {
   term->pending_calls--;
-  if (!term->ended)
+  if (!term->destroyed)
     return true;
   if (term->pending_calls == 0)
     free_term (term);
@@ -38,13 +38,13 @@
 }
 
 static void
-end_term (struct rst_term *term, const char *why)
+end_term (struct rst_term *term, const char *reason)
 {
-  if (term->over)
+  if (term->ended)
     return;
-  term->over = true;
-  rst_info (RST_TERM_LOG_PREFIX, "Term ended.", "why", why);
-  term->config.ended (term->config.userdata);
+  term->ended = true;
+  rst_info (RST_TERM_LOG_PREFIX, "Term ended.", "why", reason);
+  term->config.on_ended (term->config.userdata);
 }
 
 void
@@ -58,7 +58,7 @@
   g_hash_table_iter_init (&iter, term->links);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     term->config.close (term->config.userdata, *(uint64_t *)key);
-  term->ended = true;
+  term->destroyed = true;
   rst_prefix_watch_destroy (term->operator_watch);
   rst_prefix_watch_destroy (term->instance_watch);
   if (term->pending_calls == 0)
@@ -66,7 +66,7 @@
 }
 
 static void
-segment_key (char *out, size_t size, int64_t segment)
+format_segment_key (char *out, size_t size, int64_t segment)
 {
   g_snprintf (out, size, RST_TERM_SEGMENT_PREFIX "%016" PRIx64, segment);
 }
@@ -119,7 +119,7 @@
   writes[0].expected = term->revision;
   if (term->current_change.segment != NULL)
     {
-      writes[count].key = term->current_change.key;
+      writes[count].key = term->current_change.segment_key;
       writes[count].value = term->current_change.segment->data;
       writes[count].length = term->current_change.segment->len;
       writes[count].expected = -1;
@@ -127,7 +127,7 @@
     }
   for (int i = 0; i < term->current_change.removed_count; i++)
     {
-      writes[count].key = term->current_change.removed[i];
+      writes[count].key = term->current_change.removed_keys[i];
       writes[count].expected = -1;
       writes[count].remove = true;
       count++;
@@ -144,7 +144,7 @@
 static void
 begin_commit (struct rst_term *term)
 {
-  static const struct change none;
+  static const struct journal_change none;
 
   term->committing = true;
   term->resigned = term->resigning;
@@ -172,9 +172,9 @@
                             term->config.unix_now ());
       rst_planner_commit_done (term->planner);
     }
-  if (!term->won)
+  if (!term->elected)
     {
-      term->won = true;
+      term->elected = true;
       start_restore (term);
     }
   rst_planner_set_confirmed (term->planner, term->commit_sent_at);
@@ -194,10 +194,11 @@
 
   for (guint i = 0; i < answer->items->len; i++)
     {
-      const struct rst_store_item *at = g_ptr_array_index (answer->items, i);
+      const struct rst_store_item *candidate
+          = g_ptr_array_index (answer->items, i);
 
-      if (strcmp (at->key, RST_PLANNER_RECORD_KEY) == 0)
-        item = at;
+      if (strcmp (candidate->key, RST_PLANNER_RECORD_KEY) == 0)
+        item = candidate;
     }
   if (item != NULL && item->value != NULL
       && rst_planner_record_read (&record, item->value, item->length)
@@ -205,11 +206,11 @@
       && record.counter == term->record.counter
       && strcmp (record.name, term->record.name) == 0)
     handle_commit_success (term, item->revision);
-  else if (item != NULL && term->won && record.epoch > term->record.epoch
+  else if (item != NULL && term->elected && record.epoch > term->record.epoch
            && record.address[0] != '\0')
     rst_term_handle_redirect (term, record.epoch, record.address);
   else
-    end_term (term, term->won ? "another planner" : "another was first");
+    end_term (term, term->elected ? "another planner" : "another was first");
 }
 
 void
@@ -260,7 +261,7 @@
         handle_commit_success (term, answer->revision);
       else if (answer->result == RST_RESULT_CONFLICT)
         handle_commit_conflict (term, answer);
-      else if (!term->won)
+      else if (!term->elected)
         end_term (term, "the store did not answer");
       else
         handle_commit_failure (term, answer->result);
@@ -275,14 +276,16 @@
 {
   struct rst_term *term = userdata;
 
-  struct change *change = &term->next_change;
+  struct journal_change *change = &term->next_change;
 
-  segment_key (change->key, sizeof change->key, segment);
+  format_segment_key (change->segment_key, sizeof change->segment_key,
+                      segment);
   change->segment = g_byte_array_new ();
   g_byte_array_append (change->segment, data, (guint)length);
   change->removed_count = MIN (remove_count, RST_TERM_COMMIT_WRITES_MAX - 2);
   for (int i = 0; i < change->removed_count; i++)
-    segment_key (change->removed[i], sizeof change->removed[i], remove[i]);
+    format_segment_key (change->removed_keys[i],
+                        sizeof change->removed_keys[i], remove[i]);
   if (!term->committing)
     begin_commit (term);
 }
@@ -333,7 +336,7 @@
   g_snprintf (epoch, sizeof epoch, "%" PRId64, term->record.epoch);
   rst_info (RST_TERM_LOG_PREFIX, "This process is the planner.", "epoch",
             epoch);
-  term->config.won (term->config.userdata);
+  term->config.on_elected (term->config.userdata);
   term->planner
       = rst_planner_create (&ops, &term->config.timing, term->record.epoch);
   term->restore_phase = RESTORE_JOURNAL;
@@ -421,7 +424,7 @@
   struct rst_reader reader;
   int kind;
 
-  if (term->over)
+  if (term->ended)
     return;
   if (term->planner == NULL
       || !rst_reader_open (&reader, &unpacked, data, length))
@@ -487,7 +490,7 @@
   if (term->committing && !term->commit_in_flight
       && now >= term->commit_retry_at)
     send_commit (term);
-  if (!term->won)
+  if (!term->elected)
     return wake;
   if (!term->committing && now - term->last_commit_at >= RECORD_RENEW_MS)
     begin_commit (term);
--- a/src/daemon/term.h
+++ b/src/daemon/term.h
@@ -21,8 +21,8 @@
  * @unix_now: Time of day in milliseconds.
  * @send: Sends a frame over a link.
  * @close: Closes a link.
- * @won: This process is the planner now.
- * @ended: Another process is the planner; the term is to be destroyed, but
+ * @on_elected: This process is the planner now.
+ * @on_ended: Another process is the planner; the term is to be destroyed, but
  *   not within the call.
  * @userdata: Passed to each.
  * @timing: Times for the planner.
@@ -37,8 +37,8 @@
   void (*send) (void *userdata, uint64_t link, const void *data,
                 size_t length);
   void (*close) (void *userdata, uint64_t link);
-  void (*won) (void *userdata);
-  void (*ended) (void *userdata);
+  void (*on_elected) (void *userdata);
+  void (*on_ended) (void *userdata);
   void *userdata;
   struct rst_planner_timing timing;
   const char *name;
--- a/src/daemon/term_private.h
+++ b/src/daemon/term_private.h
@@ -31,11 +31,11 @@
 };
 
 /* What a commit changes beside the planner's key. */
-struct change
+struct journal_change
 {
-  char key[64];
+  char segment_key[64];
   GByteArray *segment;
-  char removed[RST_TERM_COMMIT_WRITES_MAX][64];
+  char removed_keys[RST_TERM_COMMIT_WRITES_MAX][64];
   int removed_count;
 };
 
@@ -44,9 +44,9 @@
   struct rst_term_config config;
   struct rst_planner_record record;
   int64_t revision;
-  bool won;
+  bool elected;
+  bool destroyed;
   bool ended;
-  bool over;
   bool resigning;
   bool resigned;
   bool serving;
@@ -64,8 +64,8 @@
   rst_ms commit_retry_at;
   rst_ms commit_sent_at;
   rst_ms last_commit_at;
-  struct change next_change;
-  struct change current_change;
+  struct journal_change next_change;
+  struct journal_change current_change;
   rst_ms next_heartbeat_at;
 };
 
--- a/src/daemon/term_read.c
+++ b/src/daemon/term_read.c
@@ -87,7 +87,7 @@
 
 static struct rst_prefix_watch *
 start_watch (struct rst_term *term, const char *prefix,
-             void (*apply) (void *, const struct rst_store_item *),
+             void (*on_item) (void *, const struct rst_store_item *),
              rst_ms pause_ms)
 {
   struct rst_prefix_watch_config config = { 0 };
@@ -97,7 +97,7 @@
   config.prefix = prefix;
   config.wait_ms = LONG_POLL_WAIT_MS;
   config.pause_ms = pause_ms;
-  config.apply = apply;
+  config.on_item = on_item;
   config.on_list_complete = on_list_complete;
   config.userdata = term;
   return rst_prefix_watch_create (&config);
--- a/test/unit/prefix_watch_test.cc
+++ b/test/unit/prefix_watch_test.cc
@@ -34,7 +34,7 @@
     config.now = [] { return watch_now; };
     config.prefix = "p/";
     config.wait_ms = 1000;
-    config.apply = [] (void *userdata, const rst_store_item *item) {
+    config.on_item = [] (void *userdata, const rst_store_item *item) {
       static_cast<PrefixWatch *> (userdata)->seen.push_back (
           (item->deleted ? "-" : "+") + std::string (item->key));
     };
