--- a/src/daemon/cell_loop.c
+++ b/src/daemon/cell_loop.c
@@ -8,23 +8,25 @@
 #include "transport/transport.h"
 #include "util/os.h"
 
-/** Bound on waiting events. */
+/** Maximum number of events in the mailbox. */
 #define MAILBOX_SIZE 32768
 
-/** Bounds on frames and on unsent bytes of a link. */
+/** Maximum size of a frame, and of the unsent data of a link. */
 #define LINK_FRAME_MAX_BYTES (4 * 1024 * 1024)
 #define LINK_BUFFER_MAX_BYTES (16 * 1024 * 1024)
 
-/** Heartbeats of a link, and silence after which it is closed. */
+/** Time between heartbeats on a link, and the time without any data after
+    which it is closed. */
 #define LINK_HEARTBEAT_MS 500
 #define LINK_SILENCE_TIMEOUT_MS 1000
 
-/** Bounds on the readers of a page of text. */
+/** Limits of the server for a status or metrics page. */
 #define PAGE_BODY_MAX_BYTES 1024
 #define PAGE_CONNECTIONS_MAX 8
 #define PAGE_IDLE_TIMEOUT_S 30
 
-/** Pause of a poster while the mailbox is full, in microseconds. */
+/** Delay before an event is posted again to a full mailbox, in microseconds.
+ */
 #define MAILBOX_FULL_PAUSE_US 1000
 
 struct rst_cell_loop
@@ -37,6 +39,7 @@
   atomic_bool stop_requested;
 };
 
+/* A link was opened or closed, or a frame arrived. */
 struct link_event
 {
   struct rst_cell_event event;
@@ -46,6 +49,7 @@
   GByteArray *data;
 };
 
+/* The answer to a call of the backend, with the callback that receives it. */
 struct answer_event
 {
   struct rst_cell_event event;
@@ -60,7 +64,7 @@
   void *answer;
 };
 
-/* An HTTP server that hands its requests to the loop. */
+/* The handler of an HTTP server, to be called on the loop's thread. */
 struct http_service
 {
   struct rst_cell_loop *loop;
@@ -388,7 +392,7 @@
   g_free (event);
 }
 
-/* On the server's thread. */
+/* Runs on the server's thread. */
 static void
 post_http_request (struct rst_http_request *request, void *userdata)
 {
@@ -406,7 +410,7 @@
                                  struct rst_http_server **out)
 {
   struct rst_http_server_config server_config = *config;
-  /* Lives as long as the process; a server's last requests need it. */
+  /* Never freed: the server may use it until the process exits. */
   struct http_service *service = g_new0 (struct http_service, 1);
 
   service->loop = loop;
@@ -489,6 +493,7 @@
     }
 }
 
+/* The event of rst_cell_loop_stop(), which only wakes the loop's thread. */
 static void
 free_wakeup_event (struct rst_cell_event *event)
 {
--- a/src/daemon/cell_loop.h
+++ b/src/daemon/cell_loop.h
@@ -1,8 +1,9 @@
 /**
- * DOC: cell_loop - one thread of decisions, fed by those of input and output
+ * DOC: cell_loop - the event loop of celld and jobd
  *
- * Frames, answers of the backend and HTTP requests are posted into one
- * mailbox and handled in turn on the loop's thread.
+ * Link events, answers of the backend, HTTP requests and stop signals arrive
+ * on other threads.  They are posted to one mailbox and handled one after
+ * another on the loop's thread.
  */
 #ifndef RST_CELL_LOOP_H
 #define RST_CELL_LOOP_H
@@ -15,8 +16,8 @@
 struct rst_cell_loop;
 
 /**
- * struct rst_cell_event - Something to be done on the loop's thread.
- * @run: Does it and frees the event.
+ * struct rst_cell_event - An event that waits in the mailbox.
+ * @run: Handles the event and frees it; called on the loop's thread.
  */
 struct rst_cell_event
 {
@@ -24,10 +25,13 @@
 };
 
 /**
- * struct rst_cell_loop_config - What a loop calls.
- * @on_link_event: A link was opened or closed, or carried a frame.
- * @on_tick: Called after each batch of events; returns when to call it again.
+ * struct rst_cell_loop_config - Callbacks of a loop.
+ * @on_link_event: A link was opened or closed, or a frame arrived on it.
+ * @on_tick: Called after each batch of events; returns the time at which to
+ *   call it again.
  * @userdata: Passed to both.
+ *
+ * Both are called on the loop's thread.
  */
 struct rst_cell_loop_config
 {
@@ -37,42 +41,66 @@
   void *userdata;
 };
 
-/** rst_cell_loop_create() - A loop without a net. */
+/**
+ * rst_cell_loop_create() - Creates a loop without a network.
+ * @config: Callbacks; copied.
+ *
+ * Return: The loop, or NULL when memory or descriptors are short.
+ */
 struct rst_cell_loop *
 rst_cell_loop_create (const struct rst_cell_loop_config *config);
 
-/** rst_cell_loop_destroy() - Frees a loop that nothing posts to any more. */
+/**
+ * rst_cell_loop_destroy() - Frees a loop; NULL is ignored.
+ *
+ * No other thread may post to it any more.
+ */
 void rst_cell_loop_destroy (struct rst_cell_loop *loop);
 
 /**
- * rst_cell_loop_listen() - Starts the net.
- * @address: Where to listen, or NULL.
+ * rst_cell_loop_listen() - Starts the network thread, which carries links.
+ * @address: Address to listen on, "IP:PORT", or NULL to only open links.
  *
  * Return: RST_TRANSPORT_OK or RST_TRANSPORT_BAD_ADDRESS.
  */
 int rst_cell_loop_listen (struct rst_cell_loop *loop, const char *address);
 
-/** rst_cell_loop_get_address() - The listening address with its real port. */
+/** rst_cell_loop_get_address() - Returns the listening address with the port
+ * that the kernel chose. */
 const char *rst_cell_loop_get_address (const struct rst_cell_loop *loop);
 
-/** rst_cell_loop_open_link() - Opens a link; @loop is a struct rst_cell_loop,
-    so that this and the next two serve as callbacks. */
+/**
+ * rst_cell_loop_open_link() - Opens a link.
+ * @loop: A struct rst_cell_loop.  This function and the next two take it as a
+ *   void pointer so that they can be used as callbacks.
+ *
+ * Return: The link's number, or 0 on failure.
+ */
 uint64_t rst_cell_loop_open_link (void *loop, const char *address);
 
 /** rst_cell_loop_close_link() - Closes a link. */
 void rst_cell_loop_close_link (void *loop, uint64_t link);
 
-/** rst_cell_loop_send_frame() - Sends a frame over a link. */
+/** rst_cell_loop_send_frame() - Sends a frame on a link. */
 void rst_cell_loop_send_frame (void *loop, uint64_t link, const void *data,
                                size_t length);
 
-/** rst_cell_loop_post() - Posts an event, from any thread. */
+/**
+ * rst_cell_loop_post() - Posts an event, from any thread.
+ *
+ * Blocks while the mailbox is full.
+ */
 void rst_cell_loop_post (struct rst_cell_loop *loop,
                          struct rst_cell_event *event);
 
 /**
- * rst_cell_loop_wrap_backend() - The same calls with callbacks on the loop.
- * @backend: The calls; their callbacks may come on any thread.
+ * rst_cell_loop_wrap_backend() - Makes callbacks of a backend run on the
+ * loop's thread.
+ * @backend: Calls whose callbacks may run on any thread; must outlive the
+ *   loop.
+ *
+ * Return: The same calls, with callbacks on the loop's thread; owned by the
+ * loop.
  */
 const struct rst_backend *
 rst_cell_loop_wrap_backend (struct rst_cell_loop *loop,
@@ -81,7 +109,7 @@
 /**
  * rst_cell_loop_start_http_server() - Starts an HTTP server whose handler runs
  * on the loop's thread.
- * @config: How the server is set up; copied.
+ * @config: Configuration of the server; copied.
  * @out: Receives the server.
  *
  * Return: RST_TRANSPORT_OK or RST_TRANSPORT_BAD_ADDRESS.
@@ -92,9 +120,12 @@
                                  struct rst_http_server **out);
 
 /**
- * rst_cell_loop_start_page_server() - Serves a page of text to a few readers.
- * @address: Where; with "" nothing is served.
- * @handler: Answers a request, on the loop's thread.
+ * rst_cell_loop_start_page_server() - Starts an HTTP server for a status or
+ * metrics page.
+ * @address: Address to listen on; with "" no server is started.
+ * @handler: Replies to a request, on the loop's thread.
+ *
+ * The server accepts few connections and small requests only.
  *
  * Return: RST_TRANSPORT_OK or RST_TRANSPORT_BAD_ADDRESS.
  */
@@ -103,19 +134,21 @@
                                      rst_http_handler handler, void *userdata);
 
 /**
- * rst_cell_loop_watch_stop_signals() - Calls @begin on the loop's thread once
- * the process is asked to stop.
+ * rst_cell_loop_watch_stop_signals() - Calls @begin on the loop's thread after
+ * SIGTERM or SIGINT.
  *
- * Signals must be blocked in all threads, see rst_os_block_signals().
+ * The signals must be blocked in all threads, see rst_os_block_signals().
  */
 void rst_cell_loop_watch_stop_signals (struct rst_cell_loop *loop,
                                        void (*begin) (void *userdata),
                                        void *userdata);
 
-/** rst_cell_loop_run() - Runs until rst_cell_loop_stop(). */
+/** rst_cell_loop_run() - Handles events until rst_cell_loop_stop() is called.
+ */
 void rst_cell_loop_run (struct rst_cell_loop *loop);
 
-/** rst_cell_loop_stop() - Ends the run, from any thread. */
+/** rst_cell_loop_stop() - Makes rst_cell_loop_run() return; may be called from
+ * any thread. */
 void rst_cell_loop_stop (struct rst_cell_loop *loop);
 
 #endif
--- a/src/daemon/cell_metrics.c
+++ b/src/daemon/cell_metrics.c
@@ -2,7 +2,7 @@
 
 #include "daemon/metrics.h"
 
-/* Statuses of answers; the last stands for all others. */
+/* HTTP statuses that are counted separately; 0 stands for all others. */
 static const unsigned counted_statuses[RST_CALL_STATUS_COUNT]
     = { 200, 400, 401, 404, 410, 413, 503, 504, 0 };
 
--- a/src/daemon/cell_metrics.h
+++ b/src/daemon/cell_metrics.h
@@ -1,5 +1,5 @@
 /**
- * DOC: cell_metrics - the pages of counters of celld and jobd
+ * DOC: cell_metrics - the metrics pages of celld and jobd
  */
 #ifndef RST_CELL_METRICS_H
 #define RST_CELL_METRICS_H
@@ -8,16 +8,17 @@
 #include "daemon/cell_node.h"
 #include "util/histogram.h"
 
-/** Number of operations of callers; see enum rst_operation. */
+/** Number of values of enum rst_operation. */
 #define RST_CALL_OPERATION_COUNT 3
 
-/** Number of statuses that callers' calls are counted by. */
+/** Number of HTTP statuses that are counted separately. */
 #define RST_CALL_STATUS_COUNT 9
 
 /**
- * struct rst_call_stats - Callers' calls as one entry instance answered them.
- * @answers: Answers by operation and status, see rst_call_stats_record().
- * @answer_ms: Time to the answer, by operation.
+ * struct rst_call_stats - Statistics of callers' calls to one entry instance.
+ * @answers: Number of answers by operation and HTTP status; updated by
+ *   rst_call_stats_record().
+ * @answer_ms: Time until the answer, by operation.
  */
 struct rst_call_stats
 {
@@ -25,21 +26,30 @@
   struct rst_histogram answer_ms[RST_CALL_OPERATION_COUNT];
 };
 
-/** rst_call_stats_record() - Counts an answered call. */
+/**
+ * rst_call_stats_record() - Counts an answered call.
+ * @status: HTTP status of the answer.
+ * @duration_ms: Time from the request to the answer, in milliseconds.
+ */
 void rst_call_stats_record (struct rst_call_stats *stats,
                             enum rst_operation operation, unsigned status,
                             int64_t duration_ms);
 
 /**
- * rst_call_metrics_format_page() - jobd's page, to be freed with g_free().
- * @stats: Calls answered.
- * @pending_calls: Calls without an answer so far.
+ * rst_call_metrics_format_page() - Formats the metrics page of jobd.
+ * @stats: Statistics of answered calls.
+ * @pending_calls: Number of calls that have no answer yet.
  * @ready: Whether callers can be served.
+ *
+ * Return: The page, to be freed with g_free().
  */
 char *rst_call_metrics_format_page (const struct rst_call_stats *stats,
                                     unsigned pending_calls, bool ready);
 
-/** rst_cell_metrics_format_page() - celld's page, to be freed with g_free().
+/**
+ * rst_cell_metrics_format_page() - Formats the metrics page of celld.
+ *
+ * Return: The page, to be freed with g_free().
  */
 char *rst_cell_metrics_format_page (const struct rst_cell_node *node);
 
--- a/src/daemon/cell_node.c
+++ b/src/daemon/cell_node.c
@@ -9,10 +9,12 @@
 
 #define LOG_DOMAIN "node"
 
-/** A lease is asked for this much below the bound on its length. */
+/** Leases are this much shorter than the longest that an instance grants, in
+    milliseconds. */
 #define LEASE_MARGIN_MS 100
 
-/** Longest wait for the last commit at a planned stop. */
+/** Longest wait for the planner's last commit at a planned stop, in
+    milliseconds. */
 #define RESIGN_TIMEOUT_MS 1000
 
 struct rst_cell_node
@@ -20,8 +22,11 @@
   struct rst_cell_node_config config;
   struct rst_agent *agent;
   struct rst_planner_client *planner_client;
+  /* NULL while this process neither is the planner nor tries to become it. */
   struct rst_term *term;
+  /* The term is to be destroyed. */
   bool term_ended;
+  /* Address of the planner that the term replaced, and the link to it. */
   char previous_planner[RST_ADDRESS_SIZE];
   uint64_t previous_planner_link;
   bool stopping;
@@ -99,7 +104,8 @@
   node->term_ended = true;
 }
 
-/* The former planner may not reach the store, but its peers. */
+/* Connects to the previous planner to send it a redirect: it may have lost its
+   connection to the store but not to its peers. */
 static void
 on_term_elected (void *userdata)
 {
@@ -199,7 +205,7 @@
 void
 rst_cell_node_begin_stop (struct rst_cell_node *node)
 {
-  rst_info (LOG_DOMAIN, "Planned stop.");
+  rst_info (LOG_DOMAIN, "Planned stop begins.");
   node->stopping = true;
   node->stop_deadline = node->config.now () + RESIGN_TIMEOUT_MS;
   if (node->term != NULL)
--- a/src/daemon/cell_node.h
+++ b/src/daemon/cell_node.h
@@ -1,8 +1,11 @@
 /**
- * DOC: cell_node - an agent and, for a term, the planner
+ * DOC: cell_node - an agent that can become the planner
  *
- * Joins agent, seeker and term over links.  It does no input or output of its
- * own, so that tests run many nodes in one process.
+ * A node combines an agent, a planner client and, while this process is the
+ * planner, a term.  It does no input or output itself: the owner passes link
+ * events in and supplies functions to open links and send frames, so that
+ * tests can run many nodes in one process.  All functions are called from
+ * one thread.
  */
 #ifndef RST_CELL_NODE_H
 #define RST_CELL_NODE_H
@@ -13,20 +16,22 @@
 struct rst_cell_node;
 
 /**
- * struct rst_cell_node_config - How a node is set up.
- * @backend: Calls; callbacks arrive on the node's thread.
- * @now: Steady time.
- * @unix_now: Time of day in milliseconds.
- * @connect: Opens a link and returns its number; 0 when it can't.
+ * struct rst_cell_node_config - Configuration of a node.
+ * @backend: Calls to the outside systems; callbacks must arrive on the node's
+ *   thread.
+ * @now: Returns monotonic time.
+ * @unix_now: Returns Unix time in milliseconds.
+ * @connect: Opens a link and returns its number, or 0 on failure.
  * @close: Closes a link.
- * @send: Sends a frame.
- * @userdata: Passed to the three.
+ * @send: Sends a frame on a link.
+ * @userdata: Passed to @connect, @close and @send.
  * @name: Name of this process; copied.
  * @zone: Its availability zone; copied.
- * @address: Where it listens; copied.
- * @timing: Times for the planner.
- * @jitter_ms: Own share of the wait before taking over.
- * @standby_delay_ms: Further wait of a machine too small to plan well.
+ * @address: Address on which it listens for links; copied.
+ * @timing: Times of the planner and of the agent's leases.
+ * @jitter_ms: Random delay of this process before it takes over.
+ * @standby_delay_ms: Further delay before a takeover, for a machine that is
+ *   too small to run the planner well.
  */
 struct rst_cell_node_config
 {
@@ -46,31 +51,45 @@
   rst_ms standby_delay_ms;
 };
 
-/** rst_cell_node_create() - A node that seeks the planner. */
+/** rst_cell_node_create() - Creates a node without a link to a planner. */
 struct rst_cell_node *
 rst_cell_node_create (const struct rst_cell_node_config *config);
 
-/** rst_cell_node_destroy() - Frees a node without calls under way. */
+/**
+ * rst_cell_node_destroy() - Frees a node; NULL is ignored.
+ *
+ * No call of the agent or of the planner client may be pending.
+ */
 void rst_cell_node_destroy (struct rst_cell_node *node);
 
-/** rst_cell_node_handle_link_event() - Something happened to a link. */
+/**
+ * rst_cell_node_handle_link_event() - Handles an event of a link.
+ * @data: The frame, when @event is RST_NET_FRAME.
+ * @length: Its length in bytes.
+ */
 void rst_cell_node_handle_link_event (struct rst_cell_node *node,
                                       enum rst_net_event event, uint64_t link,
                                       const void *data, size_t length);
 
-/** rst_cell_node_run() - Does what is due; returns when to be called again. */
+/**
+ * rst_cell_node_run() - Runs the agent, the planner client and the term.
+ *
+ * Return: Time at which to call it again.
+ */
 rst_ms rst_cell_node_run (struct rst_cell_node *node);
 
-/** rst_cell_node_begin_stop() - Begins a planned stop. */
+/** rst_cell_node_begin_stop() - Begins a planned stop; the planner resigns. */
 void rst_cell_node_begin_stop (struct rst_cell_node *node);
 
-/** rst_cell_node_is_stopped() - Whether a planned stop is complete. */
+/** rst_cell_node_is_stopped() - Whether a planned stop is complete or has
+ * timed out. */
 bool rst_cell_node_is_stopped (const struct rst_cell_node *node);
 
-/** rst_cell_node_is_planner() - Whether the node is the planner. */
+/** rst_cell_node_is_planner() - Whether the node has a term, which it may
+ * still be trying to win. */
 bool rst_cell_node_is_planner (const struct rst_cell_node *node);
 
-/** rst_cell_node_get_planner() - The node's planner, or NULL. */
+/** rst_cell_node_get_planner() - Returns the node's planner, or NULL. */
 const struct rst_planner *
 rst_cell_node_get_planner (const struct rst_cell_node *node);
 
--- a/src/daemon/celld.c
+++ b/src/daemon/celld.c
@@ -1,8 +1,8 @@
 /**
- * DOC: celld - plans a cell, or is one of the planner's agents
+ * DOC: celld - the planner and its agents
  *
- * Every entry instance runs one.  One at a time is the planner; all, the
- * planner's own among them, are its agents.
+ * Every entry instance runs one celld process.  Each is an agent, and one at
+ * a time is also the planner.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -20,23 +20,27 @@
 
 #define LOG_DOMAIN "celld"
 
-/** Bound on open connections to the store, the advice service, instances. */
+/** Maximum number of open connections to the store, the advice service and
+    instances. */
 #define CONNECTIONS_MAX 1500
 
-/** Bound on connections to one address, well below an instance's own. */
+/** Maximum number of connections to one address, well below the number that an
+    instance accepts. */
 #define CONNECTIONS_PER_HOST_MAX 8
 
-/** How long leases are extended without the store's word for the planner. */
+/** How long agents extend leases while the store does not confirm the planner,
+    in milliseconds. */
 #define UNCONFIRMED_RENEWAL_MS 5000
 
-/** Largest share of the wait before taking over that is a process's own. */
+/** Upper bound of the random delay before a takeover, in milliseconds. */
 #define TAKEOVER_JITTER_MS 120
 
-/** Machines below this share of a core, or this many Mbit/s, are small. */
+/** A machine with a smaller share of a core or a slower link, in Mbit/s, lets
+    larger machines become the planner first. */
 #define SMALL_MACHINE_CPU_SHARE 0.2
 #define SMALL_MACHINE_LINK_MBPS 50.0
 
-/** How much longer a small machine waits before it takes over. */
+/** Further delay before a takeover on such a machine, in milliseconds. */
 #define STANDBY_DELAY_MS 400
 
 struct settings
@@ -135,8 +139,8 @@
   g_free (page);
 }
 
-/* The planner's work of 350 instances took 0.13 cores; a machine near that
-   leaves the role to larger ones. */
+/* Planning for 350 instances takes 0.13 cores, so a machine with little more
+   than that waits for larger ones to take over. */
 static rst_ms
 standby_delay_ms (const struct settings *settings)
 {
@@ -176,7 +180,8 @@
 }
 
 static const struct rst_program program
-    = { "rosemarystile-celld", "plans a cell and holds its instances", fields,
+    = { "rosemarystile-celld",
+        "plans a cell and holds leases on its instances", fields,
         G_N_ELEMENTS (fields), NULL };
 
 int
@@ -208,16 +213,17 @@
   if (rst_cell_loop_listen (celld.loop, celld.settings.listen)
       != RST_TRANSPORT_OK)
     {
-      rst_warning (LOG_DOMAIN, "listen: the address can't be used.");
+      rst_warning (LOG_DOMAIN, "listen: address can't be used; exiting.");
       goto out;
     }
-  /* Events of links wait in the loop until it runs. */
+  /* Link events that arrive before this stay in the mailbox until the loop
+     runs. */
   create_node (&celld);
   if (rst_cell_loop_start_page_server (celld.loop, celld.settings.metrics,
                                        serve_metrics, &celld)
       != RST_TRANSPORT_OK)
     {
-      rst_warning (LOG_DOMAIN, "metrics: the address can't be used.");
+      rst_warning (LOG_DOMAIN, "metrics: address can't be used; exiting.");
       goto out;
     }
   rst_info (LOG_DOMAIN, "Started.", "name", celld.settings.name, "zone",
@@ -226,7 +232,7 @@
   rst_cell_loop_watch_stop_signals (celld.loop, begin_stop, &celld);
   rst_cell_loop_run (celld.loop);
   rst_info (LOG_DOMAIN, "Stopped.");
-  /* Threads may still post into the loop; the process's end frees all. */
+  /* Other threads may still post to the loop, so it is not destroyed. */
   _exit (EXIT_SUCCESS);
 
 out:
--- a/src/daemon/entryd.c
+++ b/src/daemon/entryd.c
@@ -1,8 +1,10 @@
 /**
  * DOC: entryd - the entry daemon
  *
- * Serves callers over HTTP.  libmicrohttpd's thread reads requests, the
- * thread of decisions routes them, the net's thread carries them.
+ * Serves callers over HTTP.  The main thread runs an entry, which routes
+ * requests to schedulers.  libmicrohttpd's thread reads requests and the
+ * network thread carries links; both post events to the main thread's
+ * mailbox.
  */
 #include <stdatomic.h>
 #include <stdio.h>
@@ -24,19 +26,21 @@
 
 #define LOG_DOMAIN "entryd"
 
-/** Bound on events waiting for the thread of decisions. */
+/** Maximum number of events in the mailbox. */
 #define MAILBOX_SIZE 65536
 
-/** Time between two ticks. */
+/** Time between two calls of rst_entry_tick(), in milliseconds. */
 #define TICK_INTERVAL_MS 20
 
-/** Most events handled between two ticks. */
+/** Maximum number of events handled before the next tick is considered. */
 #define EVENTS_PER_TICK_MAX 512
 
-/** Longest time that a planned stop waits for answers. */
+/** Longest time that a planned stop waits for pending requests, in
+    milliseconds. */
 #define DRAIN_TIMEOUT_MS 20000
 
-/** Time for which a stopping entry still answers, not ready. */
+/** Shortest duration of a planned stop, in milliseconds.  The entry still
+    serves callers but reports that it is not ready. */
 #define STOP_LINGER_MS 300
 
 struct settings
@@ -140,8 +144,7 @@
   g_strlcpy (settings->log_level, "info", sizeof settings->log_level);
 }
 
-/* ---- Requests
- * --------------------------------------------------------------- */
+/* ---- Requests ----------------------------------------------------------- */
 
 static char *
 metrics_page (struct daemon *daemon)
@@ -172,7 +175,8 @@
   return g_string_free (page, FALSE);
 }
 
-/* Serves the pages that need no key.  Returns false for other paths. */
+/* Replies to requests for pages that need no key.  Returns false for other
+   paths. */
 static bool
 serve_page (struct daemon *daemon, struct rst_http_request *http)
 {
@@ -211,7 +215,8 @@
                           reply->length, reply->retry_after_s);
 }
 
-/* Finds the operation by method and path.  Returns false when none fits. */
+/* Reads the operation from method and path.  Returns false for an unknown
+   path. */
 static bool
 read_operation (struct rst_http_request *http,
                 struct rst_entry_request *request)
@@ -265,8 +270,7 @@
   rst_entry_handle_request (daemon->entry, http, &request);
 }
 
-/* ---- Events
- * ------------------------------------------------------------------- */
+/* ---- Events ------------------------------------------------------------- */
 
 static void
 on_request (struct rst_http_request *request, void *userdata)
@@ -349,8 +353,7 @@
     }
 }
 
-/* ---- Start and stop
- * --------------------------------------------------------------- */
+/* ---- Start and stop ----------------------------------------------------- */
 
 static void
 add_schedulers (struct daemon *daemon)
--- a/src/daemon/jobd.c
+++ b/src/daemon/jobd.c
@@ -1,9 +1,10 @@
 /**
- * DOC: jobd - takes callers' jobs and passes their calls to the planner
+ * DOC: jobd - forwards callers' calls on jobs to the planner
  *
- * Every entry instance runs one.  A call is passed on at most once to each
- * planner; after a planner was lost it is passed to the next one, since
- * handing a job in twice leaves it one job.
+ * Every entry instance runs one jobd process.  A call is sent to each planner
+ * at most once.  When the link to the planner is lost, the call is sent again
+ * to the next planner; this is safe because submitting a job twice creates
+ * only one job.
  */
 #include <stdatomic.h>
 #include <stdlib.h>
@@ -22,26 +23,30 @@
 
 #define LOG_DOMAIN "jobd"
 
-/** How long a caller waits when it does not say, in milliseconds. */
+/** Deadline of a request that does not set one, in milliseconds. */
 #define DEFAULT_DEADLINE_MS 3000
 
-/** An answer is given this long before the caller stops waiting. */
+/** A call is answered this long before the caller's deadline, in milliseconds.
+ */
 #define DEADLINE_MARGIN_MS 150
 
-/** A call that no planner has taken yet is turned away after this. */
+/** A call that could not be sent to a planner for this long is rejected; in
+    milliseconds. */
 #define UNSENT_TIMEOUT_MS 1500
 
-/** Bound on calls that wait for an answer. */
+/** Maximum number of calls without an answer; more are rejected. */
 #define PENDING_CALLS_MAX 2000
 
-/** A stopping process answers on for this long, not ready, so that the
-    balancer takes it out: two missed checks, one a second, and a margin. */
+/** How long a stopping process still serves callers while it reports that it
+    is not ready, in milliseconds.  The load balancer checks once a second and
+    removes a process after two failed checks. */
 #define STOP_LINGER_MS 3000
 
-/** Longest wait for the last answers at a planned stop. */
+/** Longest duration of a planned stop, in milliseconds. */
 #define STOP_TIMEOUT_MS 4500
 
-/** Time between two looks at deadlines. */
+/** Time between two checks of the deadlines of pending calls, in milliseconds.
+ */
 #define DEADLINE_CHECK_INTERVAL_MS 50
 
 struct settings
@@ -98,7 +103,7 @@
   rst_ms next_deadline_check;
 };
 
-/* A call that waits for the planner's answer. */
+/* A call that has no answer yet. */
 struct pending_call
 {
   uint64_t number;
@@ -107,8 +112,9 @@
   GByteArray *frame;
   rst_ms received_at;
   rst_ms answer_deadline;
+  /* Sent over the current link to the planner. */
   bool sent;
-  /* Passed on over a link that is gone; what became of it is not known. */
+  /* Sent over an earlier link, so its outcome is unknown. */
   bool sent_on_lost_link;
 };
 
@@ -138,7 +144,7 @@
   send_reply (request, status, text, retry_s);
 }
 
-/* Gives a call its answer and counts it. */
+/* Replies to a call, counts it and frees it. */
 static void
 finish_call (struct jobd *jobd, struct pending_call *call, unsigned status,
              const char *text, unsigned retry_s)
@@ -149,7 +155,7 @@
   g_hash_table_remove (jobd->pending_calls, &call->number);
 }
 
-/* Ends a call without success; its path holds the job's id. */
+/* Replies to a call with an error, and logs it. */
 static void
 reject_call (struct jobd *jobd, struct pending_call *call, unsigned status,
              const char *reason, unsigned retry_s)
@@ -164,7 +170,7 @@
       g_snprintf (number, sizeof number, "%u", status);
       g_snprintf (age, sizeof age, "%lld",
                   (long long)(rst_os_now () - call->received_at));
-      rst_info (LOG_DOMAIN, "Call turned away.", "path",
+      rst_info (LOG_DOMAIN, "Call failed.", "path",
                 rst_http_request_path (call->request), "status", number, "why",
                 reason, "age_ms", age, "passed_on",
                 call->sent || call->sent_on_lost_link ? "yes" : "no");
@@ -190,7 +196,7 @@
   return value != NULL ? value : "";
 }
 
-/* The key stands in a header of its own. */
+/* Encodes a call for the planner.  The key comes from a separate header. */
 static void
 pack_call (struct pending_call *call, const struct rst_jobdesc *desc)
 {
@@ -264,7 +270,9 @@
       desc = rst_adapter_parse_job (rst_http_request_body (request, NULL),
                                     &problem);
       if (desc == NULL)
-        rst_info (LOG_DOMAIN, "Job can't be read.", "problem", problem);
+        rst_info (LOG_DOMAIN,
+                  "Submitted job can't be read; the planner will reject it.",
+                  "problem", problem);
     }
   call = g_new0 (struct pending_call, 1);
   call->number = jobd->next_number++;
@@ -324,7 +332,7 @@
   finish_call (jobd, call, 200, text, 0);
 }
 
-/* Answers of the planner that are no success, as a status and its reason. */
+/* Replies to a call with the HTTP status for an unsuccessful outcome. */
 static void
 reject_with_outcome (struct jobd *jobd, struct pending_call *call,
                      enum rst_outcome outcome, unsigned retry_s)
@@ -391,7 +399,7 @@
   gpointer value;
 
   if (serving && !jobd->serving)
-    rst_info (LOG_DOMAIN, "Callers are served.");
+    rst_info (LOG_DOMAIN, "Planner is ready; serving callers.");
   jobd->serving = serving;
   atomic_store (&jobd->ready, serving && !jobd->stopping);
   g_hash_table_iter_init (&iter, jobd->pending_calls);
@@ -406,7 +414,8 @@
   GHashTableIter iter;
   gpointer value;
 
-  rst_info (LOG_DOMAIN, "Planner lost.");
+  rst_info (LOG_DOMAIN,
+            "Link to the planner lost; callers wait for the next planner.");
   jobd->serving = false;
   g_hash_table_iter_init (&iter, jobd->pending_calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -425,7 +434,7 @@
   (void)store_age_ms;
 }
 
-/* Answers calls whose caller stops waiting soon. */
+/* Replies to calls that are close to their deadline or could not be sent. */
 static void
 expire_calls (struct jobd *jobd, rst_ms now)
 {
@@ -477,7 +486,8 @@
     }
   if (any)
     wake = MIN (wake, jobd->next_deadline_check);
-  /* Without a planner this instance should get no new connections. */
+  /* While there is no planner the load balancer should send callers to other
+     instances. */
   if (!jobd->serving)
     atomic_store (&jobd->ready, false);
   if (!jobd->stopping)
@@ -492,7 +502,7 @@
 {
   struct jobd *jobd = userdata;
 
-  rst_info (LOG_DOMAIN, "Planned stop.");
+  rst_info (LOG_DOMAIN, "Planned stop begins.");
   jobd->stopping = true;
   atomic_store (&jobd->ready, false);
   rst_http_server_disable_keep_alive (jobd->caller_server);
@@ -561,7 +571,7 @@
                                        &jobd->caller_server)
       != RST_TRANSPORT_OK)
     {
-      rst_warning (LOG_DOMAIN, "listen: the address can't be used.");
+      rst_warning (LOG_DOMAIN, "listen: address can't be used; exiting.");
       return false;
     }
   config.address = jobd->settings.readiness;
@@ -570,22 +580,22 @@
   if (rst_http_server_create (&config, &jobd->readiness_server)
       != RST_TRANSPORT_OK)
     {
-      rst_warning (LOG_DOMAIN, "readiness: the address can't be used.");
+      rst_warning (LOG_DOMAIN, "readiness: address can't be used; exiting.");
       return false;
     }
   if (rst_cell_loop_start_page_server (jobd->loop, jobd->settings.metrics,
                                        serve_metrics, jobd)
       != RST_TRANSPORT_OK)
     {
-      rst_warning (LOG_DOMAIN, "metrics: the address can't be used.");
+      rst_warning (LOG_DOMAIN, "metrics: address can't be used; exiting.");
       return false;
     }
   return true;
 }
 
 static const struct rst_program program
-    = { "rosemarystile-jobd", "takes callers' jobs", fields,
-        G_N_ELEMENTS (fields), NULL };
+    = { "rosemarystile-jobd", "forwards callers' calls on jobs to the planner",
+        fields, G_N_ELEMENTS (fields), NULL };
 
 int
 main (int argc, char **argv)
@@ -622,6 +632,6 @@
   rst_cell_loop_run (jobd.loop);
   rst_http_server_destroy (jobd.caller_server);
   rst_info (LOG_DOMAIN, "Stopped.");
-  /* Threads may still post into the loop; the process's end frees all. */
+  /* Other threads may still post to the loop, so it is not destroyed. */
   _exit (EXIT_SUCCESS);
 }
--- a/src/daemon/link.c
+++ b/src/daemon/link.c
@@ -9,14 +9,16 @@
 
 #define LOG_DOMAIN "link"
 
-/** Bound on unsent bytes of one link. */
+/** Maximum size of the unsent data of a link. */
 #define LINK_BUFFER_MAX_BYTES (16 * 1024 * 1024)
 
-/** Time between heartbeats, and the silence that closes a link. */
+/** Time between heartbeats on a link, and the time without any data after
+    which it is closed. */
 #define LINK_HEARTBEAT_MS 500
 #define LINK_SILENCE_TIMEOUT_MS 2500
 
-/** Pause before a full mailbox is tried again, in microseconds. */
+/** Delay before an event is posted again to a full mailbox, in microseconds.
+ */
 #define MAILBOX_FULL_PAUSE_US 500
 
 void
--- a/src/daemon/metrics.c
+++ b/src/daemon/metrics.c
@@ -2,7 +2,7 @@
 
 #include "util/os.h"
 
-/** Prefix of all names. */
+/** Prefix of the names of all metrics. */
 #define METRICS_PREFIX "rosemarystile_"
 
 void
@@ -38,7 +38,8 @@
                           name, help, name, type);
 }
 
-/* Writes one sample; @bound is a bucket's upper bound, or NULL. */
+/* Appends one sample.  @suffix is appended to @name; @bound is the upper bound
+   of a histogram's bucket, or NULL. */
 static void
 write_sample (GString *page, const char *name, const char *suffix,
               struct rst_metrics_label label, const char *bound, double value)
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -1,5 +1,8 @@
 /**
- * DOC: metrics - counters in Prometheus text
+ * DOC: metrics - metrics pages in the Prometheus text format
+ *
+ * Names are passed without the prefix "rosemarystile_", which each function
+ * adds.
  */
 #ifndef RST_METRICS_H
 #define RST_METRICS_H
@@ -10,18 +13,18 @@
 
 #include "util/histogram.h"
 
-/** rst_metrics_add_counter() - Adds a counter to a page. */
+/** rst_metrics_add_counter() - Appends a counter without labels. */
 void rst_metrics_add_counter (GString *page, const char *name,
                               const char *help, uint64_t value);
 
-/** rst_metrics_add_gauge() - Adds a gauge to a page. */
+/** rst_metrics_add_gauge() - Appends a gauge without labels. */
 void rst_metrics_add_gauge (GString *page, const char *name, const char *help,
                             double value);
 
 /**
  * struct rst_metrics_label - A label of a sample.
- * @name: Its name; NULL for no label.
- * @value: Its value.
+ * @name: Name of the label; NULL for a sample without a label.
+ * @value: Value of the label.
  */
 struct rst_metrics_label
 {
@@ -29,21 +32,27 @@
   const char *value;
 };
 
-/** rst_metrics_begin_family() - Begins samples of one name with different
- * labels. */
+/**
+ * rst_metrics_begin_family() - Appends the header of a metric with labels.
+ * @type: Type of the metric, such as "counter".
+ *
+ * Its samples must follow directly.
+ */
 void rst_metrics_begin_family (GString *page, const char *name,
                                const char *type, const char *help);
 
-/** rst_metrics_add_sample() - Adds a labelled value to a family. */
+/** rst_metrics_add_sample() - Appends a sample of the family begun last. */
 void rst_metrics_add_sample (GString *page, const char *name,
                              struct rst_metrics_label label, double value);
 
-/** rst_metrics_add_histogram() - Adds a histogram in seconds to a family. */
+/** rst_metrics_add_histogram() - Appends a histogram, in seconds, of the
+ * family begun last. */
 void rst_metrics_add_histogram (GString *page, const char *name,
                                 struct rst_metrics_label label,
                                 const struct rst_histogram *histogram);
 
-/** rst_metrics_add_process() - Adds the process's own gauges to a page. */
+/** rst_metrics_add_process() - Appends processor time and memory of this
+ * process. */
 void rst_metrics_add_process (GString *page);
 
 #endif
--- a/src/daemon/prefix_watch.c
+++ b/src/daemon/prefix_watch.c
@@ -2,19 +2,24 @@
 
 #include <string.h>
 
-/** Pause after a call that failed, in milliseconds. */
+/** Delay before a failed call is repeated, in milliseconds. */
 #define RETRY_DELAY_MS 100
 
-/** Longest time without anything due, in milliseconds. */
+/** Longest time between two calls of rst_prefix_watch_run() while a call is
+    pending, in milliseconds. */
 #define IDLE_WAKE_MS 500
 
 struct rst_prefix_watch
 {
   struct rst_prefix_watch_config config;
+  /* Keys that were delivered and not deleted since. */
   GHashTable *known_keys;
-  /* Keys seen while the prefix is read whole; NULL while it is watched. */
+  /* Keys listed so far; NULL when the list is complete and the prefix is
+     watched. */
   GHashTable *listed_keys;
+  /* Changes up to this revision have been delivered. */
   int64_t revision;
+  /* Last key that was listed; the next page begins behind it. */
   char last_key[256];
   bool call_pending;
   bool destroyed;
@@ -77,7 +82,7 @@
   watch->config.on_item (watch->config.userdata, item);
 }
 
-/* Keys known before that a whole reading did not show are gone. */
+/* Delivers known keys that a complete list does not contain as deleted. */
 static void
 delete_unlisted_items (struct rst_prefix_watch *watch)
 {
@@ -101,7 +106,8 @@
 handle_list_page (struct rst_prefix_watch *watch,
                   const struct rst_store_answer *answer)
 {
-  /* What changes while pages are read is seen by the watch. */
+  /* The watch begins at the revision of the first page, so that it delivers
+     changes made while further pages were read. */
   if (watch->last_key[0] == '\0')
     watch->revision = answer->revision;
   for (guint i = 0; i < answer->items->len; i++)
--- a/src/daemon/prefix_watch.h
+++ b/src/daemon/prefix_watch.h
@@ -1,9 +1,10 @@
 /**
- * DOC: follow - a prefix of the store that is read whole and then watched
+ * DOC: prefix_watch - lists the keys under a prefix, then watches them
  *
- * Each item is handed on once as it is read and again with each change.  When
- * the store no longer has the history of changes, the prefix is read whole
- * again and what is absent is handed on as deleted.
+ * Every key of the store under the prefix is delivered once when it is
+ * listed, and again with each change.  When the store has compacted the
+ * changes that the watch asks for, the prefix is listed again, and keys that
+ * are gone are delivered as deleted.
  */
 #ifndef RST_PREFIX_WATCH_H
 #define RST_PREFIX_WATCH_H
@@ -13,14 +14,15 @@
 struct rst_prefix_watch;
 
 /**
- * struct rst_prefix_watch_config - What is followed, and who is told.
- * @backend: The store; callbacks arrive on the owner's thread.
- * @now: Steady time.
- * @prefix: A static string.
- * @wait_ms: How long a watch waits.
- * @pause_ms: Pause between two watches, in which changes gather.
- * @on_item: Takes an item.
- * @on_list_complete: The prefix was read whole.
+ * struct rst_prefix_watch_config - Configuration of a watch.
+ * @backend: Calls to the store; callbacks must arrive on the owner's thread.
+ * @now: Returns monotonic time.
+ * @prefix: Prefix of the keys; must outlive the watch.
+ * @wait_ms: Longest wait of a long poll for changes.
+ * @pause_ms: Pause between two long polls, so that one answer carries more
+ *   changes.
+ * @on_item: Receives a listed or changed key.
+ * @on_list_complete: Every key under the prefix has been delivered.
  * @userdata: Passed to both.
  */
 struct rst_prefix_watch_config
@@ -35,18 +37,23 @@
   void *userdata;
 };
 
-/** rst_prefix_watch_create() - Begins with the next rst_prefix_watch_run(). */
+/** rst_prefix_watch_create() - Creates a watch; rst_prefix_watch_run() sends
+ * its first call. */
 struct rst_prefix_watch *
 rst_prefix_watch_create (const struct rst_prefix_watch_config *config);
 
 /**
- * rst_prefix_watch_destroy() - Ends it, or ignores NULL.
+ * rst_prefix_watch_destroy() - Ends a watch; NULL is ignored.
  *
- * Nothing is handed on any more; it is freed when its call was answered.
+ * Nothing is delivered any more.  The memory is freed once the pending call
+ * has been answered.
  */
 void rst_prefix_watch_destroy (struct rst_prefix_watch *watch);
 
-/** rst_prefix_watch_run() - Does what is due; returns when to be called again.
+/**
+ * rst_prefix_watch_run() - Sends the next call to the store when it is due.
+ *
+ * Return: Time at which to call it again.
  */
 rst_ms rst_prefix_watch_run (struct rst_prefix_watch *watch);
 
--- a/src/daemon/schedd.c
+++ b/src/daemon/schedd.c
@@ -1,9 +1,9 @@
 /**
  * DOC: schedd - the scheduler daemon
  *
- * Joins the scheduler's decisions to the network: a thread for frames, one
- * for each HTTP client, one for the status pages, and this file's thread of
- * decisions.
+ * Runs a scheduler on the main thread.  Other threads carry links, serve the
+ * status pages and make HTTP requests to the outside systems; they post
+ * events to the main thread's mailbox.
  */
 #include <stdatomic.h>
 #include <stdio.h>
@@ -26,16 +26,16 @@
 
 #define LOG_DOMAIN "schedd"
 
-/** Bound on events waiting for the thread of decisions. */
+/** Maximum number of events in the mailbox. */
 #define MAILBOX_SIZE 65536
 
-/** Time between two ticks. */
+/** Time between two calls of rst_scheduler_tick(), in milliseconds. */
 #define TICK_INTERVAL_MS 20
 
-/** Most events handled between two ticks. */
+/** Maximum number of events handled before the next tick is considered. */
 #define EVENTS_PER_TICK_MAX 512
 
-/** Bounds of the status pages. */
+/** Limits of the server of the status pages. */
 #define STATUS_BODY_MAX_BYTES 4096
 #define STATUS_CONNECTIONS_MAX 64
 #define STATUS_IDLE_TIMEOUT_S 30
@@ -173,8 +173,7 @@
   check_settings,
 };
 
-/* ---- Status pages --------------------------------------------------------
- */
+/* ---- Status pages ------------------------------------------------------- */
 
 static char *
 metrics_page (struct daemon *daemon)
@@ -248,8 +247,7 @@
                                  "{\"error\":\"no such page\"}\n");
 }
 
-/* ---- Events ---------------------------------------------------------------
- */
+/* ---- Events ------------------------------------------------------------- */
 
 static void
 on_request (struct rst_http_request *request, void *userdata)
@@ -331,8 +329,7 @@
   return NULL;
 }
 
-/* ---- Start and stop
- * --------------------------------------------------------- */
+/* ---- Start and stop ----------------------------------------------------- */
 
 static bool
 start_servers (struct daemon *daemon)
--- a/src/daemon/store_input.c
+++ b/src/daemon/store_input.c
@@ -21,13 +21,13 @@
   if (config == NULL)
     {
       rst_warning (LOG_DOMAIN,
-                   "Configuration can't be read; the last one stays.",
+                   "Configuration can't be read; the previous one is kept.",
                    "problem", problem);
       g_free (problem);
       return;
     }
   g_snprintf (version, sizeof version, "%" PRId64, config->version);
-  rst_info (LOG_DOMAIN, "Configuration is in force.", "version", version);
+  rst_info (LOG_DOMAIN, "Configuration applied.", "version", version);
   rst_planner_configure (planner, config);
 }
 
@@ -58,5 +58,6 @@
                                           &entry))
     rst_planner_update_instance (planner, &entry);
   else
-    rst_info (LOG_DOMAIN, "Entry names no usable instance.", "id", id);
+    rst_info (LOG_DOMAIN, "Instance entry can't be read; it is ignored.", "id",
+              id);
 }
--- a/src/daemon/term.c
+++ b/src/daemon/term.c
@@ -4,13 +4,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** The planner's key is renewed when nothing was committed for this long. */
+/** The planner record is rewritten when nothing was committed for this long,
+    to show that the planner is alive; in milliseconds. */
 #define RECORD_RENEW_MS 250
 
-/** Time between two messages that the planner is alive. */
+/** Time between two heartbeats to all links, in milliseconds. */
 #define HEARTBEAT_INTERVAL_MS 250
 
-/** Age said of the store's last word when a commit failed. */
+/** Least age of the store's confirmation that heartbeats report after a failed
+    commit, in milliseconds.  It is above the age at which receivers read the
+    planner record themselves. */
 #define FAILED_COMMIT_AGE_MS 1000
 
 static void
@@ -25,7 +28,6 @@
   g_free (term);
 }
 
-/* Counts an answered call; true when the term goes on. */
 bool
 rst_term_finish_call (struct rst_term *term)
 {
@@ -43,7 +45,8 @@
   if (term->ended)
     return;
   term->ended = true;
-  rst_info (RST_TERM_LOG_PREFIX, "Term ended.", "why", reason);
+  rst_info (RST_TERM_LOG_PREFIX,
+            "Term ended; this process is not the planner.", "why", reason);
   term->config.on_ended (term->config.userdata);
 }
 
@@ -104,7 +107,9 @@
 
 static void on_commit (struct rst_store_answer *answer, void *userdata);
 
-/* Sends the change under way, again if need be; only one copy can win. */
+/* Sends the current commit, or sends it again when its outcome is not known.
+   Every copy expects the same revision of the planner record, so at most one
+   is applied. */
 static void
 send_commit (struct rst_term *term)
 {
@@ -140,7 +145,8 @@
   rst_pack_clear (&pack);
 }
 
-/* A change that comes while a commit is under way waits for the next. */
+/* Begins the next commit.  Only one is under way at a time; a change that
+   arrives meanwhile is kept in next_change. */
 static void
 begin_commit (struct rst_term *term)
 {
@@ -184,7 +190,8 @@
     begin_commit (term);
 }
 
-/* The condition failed: either an earlier copy won, or someone else has. */
+/* The planner record has another revision than expected.  Either an earlier
+   copy of this commit was applied, or another process is the planner. */
 static void
 handle_commit_conflict (struct rst_term *term,
                         const struct rst_store_answer *answer)
@@ -230,7 +237,8 @@
   end_term (term, "another planner");
 }
 
-/* Others look at once whether they reach the store. */
+/* Reports a high confirmation age to all links, so that the other processes
+   check at once whether they reach the store themselves. */
 static void
 handle_commit_failure (struct rst_term *term, enum rst_result result)
 {
@@ -241,8 +249,8 @@
               term->current_change.segment != NULL
                   ? term->current_change.segment->len
                   : 0);
-  rst_info (RST_TERM_LOG_PREFIX, "Commit is sent again.", "result",
-            rst_result_name (result), "bytes", bytes);
+  rst_info (RST_TERM_LOG_PREFIX, "Commit failed; it will be sent again.",
+            "result", rst_result_name (result), "bytes", bytes);
   send_heartbeats (term,
                    MAX (now - term->last_commit_at, FAILED_COMMIT_AGE_MS));
   term->next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
@@ -269,7 +277,8 @@
   rst_store_answer_free (answer);
 }
 
-/* The planner's commit. */
+/* Accepts a segment from the planner, which submits the next one only after
+   rst_planner_commit_done(). */
 static void
 queue_commit (void *userdata, int64_t segment, const void *data, size_t length,
               const int64_t *remove, int remove_count)
@@ -461,7 +470,7 @@
   gpointer key;
 
   term->serving = true;
-  rst_info (RST_TERM_LOG_PREFIX, "Callers are served.");
+  rst_info (RST_TERM_LOG_PREFIX, "Planner is ready; serving callers.");
   g_hash_table_iter_init (&iter, term->links);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     send_welcome (term, *(uint64_t *)key);
--- a/src/daemon/term_private.h
+++ b/src/daemon/term_private.h
@@ -1,8 +1,9 @@
 /**
- * DOC: term_private - a planner's term, shared by its parts
+ * DOC: term_private - declarations shared by the files of a term
  *
- * term.c: links, commits, the planner's life.  term_read.c: reading the
- * journal, the operators' keys and the instances' entries.
+ * term.c has the term's links, its commits and its start and end.
+ * term_read.c restores the planner: it reads the journal and watches the keys
+ * of operators and instances.
  */
 #ifndef RST_TERM_PRIVATE_H
 #define RST_TERM_PRIVATE_H
@@ -13,15 +14,17 @@
 
 #define RST_TERM_LOG_PREFIX "term"
 
-/** Prefix of the journal's segments. */
+/** Prefix of the keys of the journal's segments. */
 #define RST_TERM_SEGMENT_PREFIX "rosemarystile/log/"
 
-/** Pause after a call that failed, in milliseconds. */
+/** Delay before a failed call to the store is repeated, in milliseconds. */
 #define RST_TERM_RETRY_DELAY_MS 100
 
-/** Writes of one commit: the planner's key, a segment and those removed. */
+/** Maximum number of keys in one commit: the planner record, a new segment and
+    removed segments. */
 #define RST_TERM_COMMIT_WRITES_MAX 20
 
+/* What is read from the store in turn before the planner may act. */
 enum restore_phase
 {
   RESTORE_JOURNAL,
@@ -30,7 +33,8 @@
   RESTORE_DONE,
 };
 
-/* What a commit changes beside the planner's key. */
+/* What a commit changes besides the planner record: it appends a segment to
+   the journal and removes old ones.  @segment is NULL when there is none. */
 struct journal_change
 {
   char segment_key[64];
@@ -42,23 +46,32 @@
 struct rst_term
 {
   struct rst_term_config config;
+  /* The planner record as this process writes it, and its revision in the
+     store. */
   struct rst_planner_record record;
   int64_t revision;
   bool elected;
+  /* The owner has destroyed the term; it waits for pending calls. */
   bool destroyed;
+  /* The owner has been told that the term ended. */
   bool ended;
   bool resigning;
+  /* The current commit, or the last one, carries the resignation. */
   bool resigned;
+  /* Callers' calls are accepted. */
   bool serving;
   struct rst_planner *planner;
   enum restore_phase restore_phase;
-  /* When to read the journal's next page again; 0 for not. */
+  /* When to repeat a failed read of the journal; 0 for no repeat. */
   rst_ms journal_retry_at;
+  /* Key of the last segment that was read. */
   char journal_position[256];
   struct rst_prefix_watch *operator_watch;
   struct rst_prefix_watch *instance_watch;
+  /* Numbers of the links that have sent a hello. */
   GHashTable *links;
   int pending_calls;
+  /* A commit is under way; it is in flight, or waits to be sent again. */
   bool committing;
   bool commit_in_flight;
   rst_ms commit_retry_at;
@@ -69,13 +82,19 @@
   rst_ms next_heartbeat_at;
 };
 
-/** rst_term_finish_call() - Counts an answered call; true when it goes on. */
+/**
+ * rst_term_finish_call() - Records that a call to the store was answered.
+ *
+ * Return: false when the term has been destroyed.  The caller must then
+ * ignore the answer; the term may have been freed.
+ */
 bool rst_term_finish_call (struct rst_term *term);
 
-/** rst_term_update_planner_time() - Tells the planner the time. */
+/** rst_term_update_planner_time() - Sets the planner's clock to the current
+ * time. */
 void rst_term_update_planner_time (struct rst_term *term);
 
-/** rst_term_read_journal() - Reads on, behind the last page. */
+/** rst_term_read_journal() - Reads the next page of the journal. */
 void rst_term_read_journal (struct rst_term *term);
 
 #endif
--- a/src/daemon/term_read.c
+++ b/src/daemon/term_read.c
@@ -1,4 +1,5 @@
-/* What a new planner reads from the store, and then follows. */
+/* Restores a new planner: reads the journal, then lists and watches the keys
+   of operators, then those of instances. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,10 +7,12 @@
 #include "daemon/store_input.h"
 #include "daemon/term_private.h"
 
-/** Wait of a watch; with its margin it finds a silent connection in time. */
+/** Longest wait of a long poll for changes, in milliseconds.  It is short so
+    that a connection on which the store has gone silent times out soon. */
 #define LONG_POLL_WAIT_MS 1000
 
-/** Pause between two watches of the instances' entries, in milliseconds. */
+/** Pause between two long polls for instance entries, in milliseconds; changes
+    that arrive meanwhile come in one answer. */
 #define INSTANCE_WATCH_PAUSE_MS 200
 
 static void
@@ -54,8 +57,10 @@
                  sizeof term->journal_position);
       if (!rst_planner_restore (term->planner, segment, item->value,
                                 item->length))
-        rst_warning (RST_TERM_LOG_PREFIX, "Segment can't be read whole.",
-                     "key", item->key);
+        rst_warning (
+            RST_TERM_LOG_PREFIX,
+            "Journal segment is damaged; unreadable records are skipped.",
+            "key", item->key);
     }
   if (answer->result != RST_RESULT_OK)
     term->journal_retry_at = term->config.now () + RST_TERM_RETRY_DELAY_MS;
--- a/test/unit/metrics_test.cc
+++ b/test/unit/metrics_test.cc
@@ -12,7 +12,7 @@
 
 using harness::Planner;
 
-TEST (Histogram, CountsADurationInTheFirstBucketThatHoldsIt)
+TEST (Histogram, CountsADurationInTheSmallestBucketThatHoldsIt)
 {
   rst_histogram histogram = {};
 
@@ -29,7 +29,7 @@
   EXPECT_EQ (histogram.sum_ms, 60006);
 }
 
-TEST (Metrics, WritesBucketsThatAddUp)
+TEST (Metrics, WritesCumulativeBuckets)
 {
   rst_histogram histogram = {};
   GString *page = g_string_new (NULL);
@@ -70,7 +70,7 @@
              std::string::npos);
 }
 
-TEST (Metrics, FollowsAJobFromItsHandingInToItsEnd)
+TEST (Metrics, CountsAJobFromSubmissionToCompletion)
 {
   Planner cell;
   rst_planner_stats stats;
--- a/test/unit/prefix_watch_test.cc
+++ b/test/unit/prefix_watch_test.cc
@@ -53,7 +53,7 @@
     data = new_data;
   }
 
-  // Answers the call under way; keys that begin with '-' are deletions.
+  // Answers the pending call; a key with a leading '-' is a deletion.
   void
   answer (rst_result result, int64_t revision,
           const std::vector<std::string> &keys, bool has_more = false)
@@ -90,7 +90,7 @@
   int reads = 0;
 };
 
-TEST_F (PrefixWatch, ReadsAllPagesThenWatchesFromTheFirstPagesRevision)
+TEST_F (PrefixWatch, ListsAllPagesThenWatchesFromTheRevisionOfTheFirst)
 {
   run ();
   answer (RST_RESULT_OK, 10, { "p/a", "p/b" }, true);
@@ -106,7 +106,7 @@
   rst_prefix_watch_destroy (watch);
 }
 
-TEST_F (PrefixWatch, ReadsAnewWhenTheHistoryIsGone)
+TEST_F (PrefixWatch, ListsAgainWhenTheHistoryIsCompacted)
 {
   run ();
   answer (RST_RESULT_OK, 10, { "p/a", "p/b" });
@@ -122,7 +122,7 @@
   rst_prefix_watch_destroy (watch);
 }
 
-TEST_F (PrefixWatch, HandsNothingOnAfterItsEnd)
+TEST_F (PrefixWatch, DeliversNothingAfterDestroy)
 {
   run ();
   rst_prefix_watch_destroy (watch);
