--- a/src/daemon/cell_loop.c
+++ b/src/daemon/cell_loop.c
@@ -83,7 +83,7 @@
 {
   struct rst_cell_event event;
   struct rst_cell_loop *loop;
-  void (*begin) (void *userdata);
+  void (*on_stop) (void *userdata);
   void *userdata;
 };
 
@@ -441,11 +441,11 @@
 }
 
 static void
-run_begin_stop (struct rst_cell_event *base)
+run_on_stop (struct rst_cell_event *base)
 {
   struct stop_event *event = (struct stop_event *)base;
 
-  event->begin (event->userdata);
+  event->on_stop (event->userdata);
   g_free (event);
 }
 
@@ -461,15 +461,15 @@
 
 void
 rst_cell_loop_watch_stop_signals (struct rst_cell_loop *loop,
-                                  void (*begin) (void *userdata),
+                                  void (*on_stop) (void *userdata),
                                   void *userdata)
 {
   struct stop_event *event = g_new0 (struct stop_event, 1);
   pthread_t thread;
 
-  event->event.run = run_begin_stop;
+  event->event.run = run_on_stop;
   event->loop = loop;
-  event->begin = begin;
+  event->on_stop = on_stop;
   event->userdata = userdata;
   pthread_create (&thread, NULL, wait_for_stop_signal, event);
   pthread_detach (thread);
--- a/src/daemon/cell_loop.h
+++ b/src/daemon/cell_loop.h
@@ -134,13 +134,13 @@
                                      rst_http_handler handler, void *userdata);
 
 /**
- * rst_cell_loop_watch_stop_signals() - Calls @begin on the loop's thread after
- * SIGTERM or SIGINT.
+ * rst_cell_loop_watch_stop_signals() - Calls @on_stop on the loop's thread
+ * after SIGTERM or SIGINT.
  *
  * The signals must be blocked in all threads, see rst_os_block_signals().
  */
 void rst_cell_loop_watch_stop_signals (struct rst_cell_loop *loop,
-                                       void (*begin) (void *userdata),
+                                       void (*on_stop) (void *userdata),
                                        void *userdata);
 
 /** rst_cell_loop_run() - Handles events until rst_cell_loop_stop() is called.
--- a/src/daemon/term.c
+++ b/src/daemon/term.c
@@ -45,7 +45,7 @@
   if (term->ended)
     return;
   term->ended = true;
-  rst_info (RST_TERM_LOG_PREFIX,
+  rst_info (RST_TERM_LOG_DOMAIN,
             "Term ended; this process is not the planner.", "why", reason);
   term->config.on_ended (term->config.userdata);
 }
@@ -249,7 +249,7 @@
               term->current_change.segment != NULL
                   ? term->current_change.segment->len
                   : 0);
-  rst_info (RST_TERM_LOG_PREFIX, "Commit failed; it will be sent again.",
+  rst_info (RST_TERM_LOG_DOMAIN, "Commit failed; it will be sent again.",
             "result", rst_result_name (result), "bytes", bytes);
   send_heartbeats (term,
                    MAX (now - term->last_commit_at, FAILED_COMMIT_AGE_MS));
@@ -343,7 +343,7 @@
   char epoch[24];
 
   g_snprintf (epoch, sizeof epoch, "%" PRId64, term->record.epoch);
-  rst_info (RST_TERM_LOG_PREFIX, "This process is the planner.", "epoch",
+  rst_info (RST_TERM_LOG_DOMAIN, "This process is the planner.", "epoch",
             epoch);
   term->config.on_elected (term->config.userdata);
   term->planner
@@ -470,7 +470,7 @@
   gpointer key;
 
   term->serving = true;
-  rst_info (RST_TERM_LOG_PREFIX, "Planner is ready; serving callers.");
+  rst_info (RST_TERM_LOG_DOMAIN, "Planner is ready; serving callers.");
   g_hash_table_iter_init (&iter, term->links);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     send_welcome (term, *(uint64_t *)key);
--- a/src/daemon/term_private.h
+++ b/src/daemon/term_private.h
@@ -12,7 +12,7 @@
 #include "daemon/term.h"
 #include "util/log.h"
 
-#define RST_TERM_LOG_PREFIX "term"
+#define RST_TERM_LOG_DOMAIN "term"
 
 /** Prefix of the keys of the journal's segments. */
 #define RST_TERM_SEGMENT_PREFIX "rosemarystile/log/"
--- a/src/daemon/term_read.c
+++ b/src/daemon/term_read.c
@@ -58,7 +58,7 @@
       if (!rst_planner_restore (term->planner, segment, item->value,
                                 item->length))
         rst_warning (
-            RST_TERM_LOG_PREFIX,
+            RST_TERM_LOG_DOMAIN,
             "Journal segment is damaged; unreadable records are skipped.",
             "key", item->key);
     }
--- a/test/unit/prefix_watch_test.cc
+++ b/test/unit/prefix_watch_test.cc
@@ -22,12 +22,12 @@
     backend.userdata = this;
     backend.store_range = [] (void *userdata, const char *, const char *after,
                               rst_store_done done, void *data) {
-      static_cast<PrefixWatch *> (userdata)->called (
+      static_cast<PrefixWatch *> (userdata)->record_call (
           "range " + std::string (after), done, data);
     };
     backend.store_watch = [] (void *userdata, const char *, int64_t after,
                               int64_t, rst_store_done done, void *data) {
-      static_cast<PrefixWatch *> (userdata)->called (
+      static_cast<PrefixWatch *> (userdata)->record_call (
           "watch " + std::to_string (after), done, data);
     };
     config.backend = &backend;
@@ -35,18 +35,19 @@
     config.prefix = "p/";
     config.wait_ms = 1000;
     config.on_item = [] (void *userdata, const rst_store_item *item) {
-      static_cast<PrefixWatch *> (userdata)->seen.push_back (
+      static_cast<PrefixWatch *> (userdata)->delivered.push_back (
           (item->deleted ? "-" : "+") + std::string (item->key));
     };
     config.on_list_complete = [] (void *userdata) {
-      static_cast<PrefixWatch *> (userdata)->reads++;
+      static_cast<PrefixWatch *> (userdata)->list_count++;
     };
     config.userdata = this;
     watch = rst_prefix_watch_create (&config);
   }
 
   void
-  called (const std::string &text, rst_store_done new_done, void *new_data)
+  record_call (const std::string &text, rst_store_done new_done,
+               void *new_data)
   {
     calls.push_back (text);
     done = new_done;
@@ -86,8 +87,8 @@
   rst_store_done done = nullptr;
   void *data = nullptr;
   std::vector<std::string> calls;
-  std::vector<std::string> seen;
-  int reads = 0;
+  std::vector<std::string> delivered;
+  int list_count = 0;
 };
 
 TEST_F (PrefixWatch, ListsAllPagesThenWatchesFromTheRevisionOfTheFirst)
@@ -99,9 +100,9 @@
   run ();
   EXPECT_EQ (calls,
              (std::vector<std::string>{ "range ", "range p/b", "watch 10" }));
-  EXPECT_EQ (reads, 1);
+  EXPECT_EQ (list_count, 1);
   answer (RST_RESULT_OK, 15, { "-p/a" });
-  EXPECT_EQ (seen,
+  EXPECT_EQ (delivered,
              (std::vector<std::string>{ "+p/a", "+p/b", "+p/c", "-p/a" }));
   rst_prefix_watch_destroy (watch);
 }
@@ -114,8 +115,8 @@
   answer (RST_RESULT_COMPACTED, 0, {});
   run ();
   answer (RST_RESULT_OK, 40, { "p/b", "p/c" });
-  EXPECT_EQ (seen, (std::vector<std::string>{ "+p/a", "+p/b", "+p/b", "+p/c",
-                                              "-p/a" }));
+  EXPECT_EQ (delivered, (std::vector<std::string>{ "+p/a", "+p/b", "+p/b",
+                                                   "+p/c", "-p/a" }));
   run ();
   EXPECT_EQ (calls.back (), "watch 40");
   answer (RST_RESULT_UNKNOWN, 0, {});
@@ -127,5 +128,5 @@
   run ();
   rst_prefix_watch_destroy (watch);
   answer (RST_RESULT_OK, 10, { "p/a" });
-  EXPECT_TRUE (seen.empty ());
+  EXPECT_TRUE (delivered.empty ());
 }
