--- a/src/daemon/celld.c
+++ b/src/daemon/celld.c
@@ -188,8 +188,8 @@
 main (int argc, char **argv)
 {
   struct celld celld = { 0 };
-  struct rst_cell_loop_config loop = { on_link_event, on_tick, &celld };
-  struct rst_log_config log = { false, "info", true };
+  struct rst_cell_loop_config loop_config = { on_link_event, on_tick, &celld };
+  struct rst_log_config log_config = { false, "info", true };
   int status;
 
   celld.settings.lease_max_ms = 6000;
@@ -200,10 +200,11 @@
   if (status >= 0)
     return status;
   rst_os_block_signals ();
-  g_strlcpy (log.level, celld.settings.log_level, sizeof log.level);
-  rst_log_init (program.name, &log);
+  g_strlcpy (log_config.level, celld.settings.log_level,
+             sizeof log_config.level);
+  rst_log_init (program.name, &log_config);
   status = EXIT_FAILURE;
-  celld.loop = rst_cell_loop_create (&loop);
+  celld.loop = rst_cell_loop_create (&loop_config);
   celld.client
       = rst_http_client_create (CONNECTIONS_MAX, CONNECTIONS_PER_HOST_MAX);
   if (celld.loop == NULL || celld.client == NULL)
--- a/src/daemon/entryd.c
+++ b/src/daemon/entryd.c
@@ -125,7 +125,7 @@
   struct rst_link_net link;
   struct rst_http_server *server;
   struct rst_entry *entry;
-  pthread_t thread;
+  pthread_t signal_thread;
   atomic_bool stop_requested;
   rst_ms next_tick;
   rst_ms stop_began_at;
@@ -316,6 +316,8 @@
     handle_event (daemon, event);
 }
 
+/* Whether a planned stop is complete.  The first call after the request begins
+   the stop. */
 static bool
 is_stop_complete (struct daemon *daemon)
 {
@@ -432,7 +434,7 @@
 main (int argc, char **argv)
 {
   static struct daemon daemon;
-  struct rst_log_config log = { 0 };
+  struct rst_log_config log_config = { 0 };
   int status = EXIT_FAILURE;
   int exit_status;
 
@@ -443,20 +445,22 @@
   rst_os_block_signals ();
   if (sodium_init () < 0)
     return EXIT_FAILURE;
-  log.json = strcmp (daemon.settings.log_format, "json") == 0;
-  g_strlcpy (log.level, daemon.settings.log_level, sizeof log.level);
-  rst_log_init (daemon.settings.name, &log);
+  log_config.json = strcmp (daemon.settings.log_format, "json") == 0;
+  g_strlcpy (log_config.level, daemon.settings.log_level,
+             sizeof log_config.level);
+  rst_log_init (daemon.settings.name, &log_config);
   daemon.mailbox = rst_mailbox_create (MAILBOX_SIZE);
   daemon.link.mailbox = daemon.mailbox;
   if (daemon.mailbox == NULL || !start_servers (&daemon))
     goto done;
-  if (pthread_create (&daemon.thread, NULL, wait_for_stop_signal, &daemon)
+  if (pthread_create (&daemon.signal_thread, NULL, wait_for_stop_signal,
+                      &daemon)
       != 0)
     goto done;
   printf ("ready http=%s\n", rst_http_server_address (daemon.server));
   fflush (stdout);
   run_loop (&daemon);
-  pthread_join (daemon.thread, NULL);
+  pthread_join (daemon.signal_thread, NULL);
   rst_info (LOG_DOMAIN, "Stopped.");
   status = EXIT_SUCCESS;
 
--- a/src/daemon/jobd.c
+++ b/src/daemon/jobd.c
@@ -438,9 +438,9 @@
 static void
 expire_calls (struct jobd *jobd, rst_ms now)
 {
-  GList *all = g_hash_table_get_values (jobd->pending_calls);
+  GList *calls = g_hash_table_get_values (jobd->pending_calls);
 
-  for (GList *node = all; node != NULL; node = node->next)
+  for (GList *node = calls; node != NULL; node = node->next)
     {
       struct pending_call *call = node->data;
       bool sent = call->sent || call->sent_on_lost_link;
@@ -452,7 +452,7 @@
                    || now - call->received_at >= UNSENT_TIMEOUT_MS))
         reject_call (jobd, call, 503, "no planner", 1);
     }
-  g_list_free (all);
+  g_list_free (calls);
 }
 
 static void
@@ -477,14 +477,14 @@
   struct jobd *jobd = userdata;
   rst_ms now = rst_os_now ();
   rst_ms wake = rst_planner_client_run (jobd->planner_client);
-  bool any = g_hash_table_size (jobd->pending_calls) > 0;
+  bool has_pending_calls = g_hash_table_size (jobd->pending_calls) > 0;
 
-  if (any && now >= jobd->next_deadline_check)
+  if (has_pending_calls && now >= jobd->next_deadline_check)
     {
       jobd->next_deadline_check = now + DEADLINE_CHECK_INTERVAL_MS;
       expire_calls (jobd, now);
     }
-  if (any)
+  if (has_pending_calls)
     wake = MIN (wake, jobd->next_deadline_check);
   /* While there is no planner the load balancer should send callers to other
      instances. */
@@ -492,7 +492,8 @@
     atomic_store (&jobd->ready, false);
   if (!jobd->stopping)
     return wake;
-  if ((now >= jobd->linger_until && !any) || now >= jobd->stop_deadline)
+  if ((now >= jobd->linger_until && !has_pending_calls)
+      || now >= jobd->stop_deadline)
     rst_cell_loop_stop (jobd->loop);
   return MIN (wake, now + DEADLINE_CHECK_INTERVAL_MS);
 }
@@ -601,8 +602,8 @@
 main (int argc, char **argv)
 {
   struct jobd jobd = { 0 };
-  struct rst_cell_loop_config loop = { on_link_event, on_tick, &jobd };
-  struct rst_log_config log = { false, "info", true };
+  struct rst_cell_loop_config loop_config = { on_link_event, on_tick, &jobd };
+  struct rst_log_config log_config = { false, "info", true };
   int status;
 
   jobd.settings.max_body_bytes = 262144;
@@ -612,12 +613,13 @@
   if (status >= 0)
     return status;
   rst_os_block_signals ();
-  g_strlcpy (log.level, jobd.settings.log_level, sizeof log.level);
-  rst_log_init (program.name, &log);
+  g_strlcpy (log_config.level, jobd.settings.log_level,
+             sizeof log_config.level);
+  rst_log_init (program.name, &log_config);
   jobd.next_number = 1;
   jobd.pending_calls = g_hash_table_new_full (g_int64_hash, g_int64_equal,
                                               NULL, free_pending_call);
-  jobd.loop = rst_cell_loop_create (&loop);
+  jobd.loop = rst_cell_loop_create (&loop_config);
   jobd.client = rst_http_client_create (64, 0);
   if (jobd.loop == NULL || jobd.client == NULL)
     return EXIT_FAILURE;
--- a/src/daemon/metrics.c
+++ b/src/daemon/metrics.c
@@ -44,7 +44,7 @@
 write_sample (GString *page, const char *name, const char *suffix,
               struct rst_metrics_label label, const char *bound, double value)
 {
-  const char *comma = label.name != NULL && bound != NULL ? "," : "";
+  const char *separator = label.name != NULL && bound != NULL ? "," : "";
 
   g_string_append_printf (page, METRICS_PREFIX "%s%s", name, suffix);
   if (label.name != NULL || bound != NULL)
@@ -52,7 +52,7 @@
   if (label.name != NULL)
     g_string_append_printf (page, "%s=\"%s\"", label.name, label.value);
   if (bound != NULL)
-    g_string_append_printf (page, "%sle=\"%s\"", comma, bound);
+    g_string_append_printf (page, "%sle=\"%s\"", separator, bound);
   if (label.name != NULL || bound != NULL)
     g_string_append_c (page, '}');
   g_string_append_printf (page, " %.10g\n", value);
--- a/src/daemon/prefix_watch.c
+++ b/src/daemon/prefix_watch.c
@@ -88,13 +88,13 @@
 {
   GList *keys = g_hash_table_get_keys (watch->known_keys);
 
-  for (GList *at = keys; at != NULL; at = at->next)
+  for (GList *node = keys; node != NULL; node = node->next)
     {
       struct rst_store_item absent = { 0 };
 
-      if (g_hash_table_contains (watch->listed_keys, at->data))
+      if (g_hash_table_contains (watch->listed_keys, node->data))
         continue;
-      absent.key = g_strdup (at->data);
+      absent.key = g_strdup (node->data);
       absent.deleted = true;
       deliver_item (watch, &absent);
       g_free (absent.key);
--- a/src/daemon/schedd.c
+++ b/src/daemon/schedd.c
@@ -101,7 +101,7 @@
   struct rst_http_server *server;
   struct rst_platform_http *platform;
   struct rst_scheduler *scheduler;
-  pthread_t thread;
+  pthread_t signal_thread;
   atomic_bool stop_requested;
   atomic_bool done;
   rst_ms next_tick;
@@ -447,7 +447,7 @@
 main (int argc, char **argv)
 {
   static struct daemon daemon;
-  struct rst_log_config log = { 0 };
+  struct rst_log_config log_config = { 0 };
   int status = EXIT_FAILURE;
   int exit_status;
 
@@ -458,23 +458,25 @@
   rst_os_block_signals ();
   if (sodium_init () < 0)
     return EXIT_FAILURE;
-  log.json = strcmp (daemon.settings.log_format, "json") == 0;
-  g_strlcpy (log.level, daemon.settings.log_level, sizeof log.level);
-  rst_log_init (daemon.settings.name, &log);
+  log_config.json = strcmp (daemon.settings.log_format, "json") == 0;
+  g_strlcpy (log_config.level, daemon.settings.log_level,
+             sizeof log_config.level);
+  rst_log_init (daemon.settings.name, &log_config);
   daemon.mailbox = rst_mailbox_create (MAILBOX_SIZE);
   daemon.link.mailbox = daemon.mailbox;
   if (daemon.mailbox == NULL || !start_servers (&daemon)
       || !start_platform (&daemon))
     goto done;
   create_scheduler (&daemon);
-  if (pthread_create (&daemon.thread, NULL, wait_for_stop_signal, &daemon)
+  if (pthread_create (&daemon.signal_thread, NULL, wait_for_stop_signal,
+                      &daemon)
       != 0)
     goto done;
   printf ("ready frames=%s http=%s\n", rst_net_address (daemon.link.net),
           rst_http_server_address (daemon.server));
   fflush (stdout);
   run_loop (&daemon);
-  pthread_join (daemon.thread, NULL);
+  pthread_join (daemon.signal_thread, NULL);
   rst_info (LOG_DOMAIN, "Stopped.");
   status = EXIT_SUCCESS;
 
