--- a/src/daemon/entryd.c
+++ b/src/daemon/entryd.c
@@ -1,8 +1,10 @@
 /**
  * DOC: entryd - the entry daemon
  *
- * Serves callers over HTTP.  libmicrohttpd's thread reads requests, the
- * thread of decisions routes them, the net's thread carries them.
+ * Serves callers over HTTP.  The main thread runs an entry, which routes
+ * requests to schedulers.  libmicrohttpd's thread reads requests and the
+ * network thread carries links; both post events to the main thread's
+ * mailbox.
  */
 #include <stdatomic.h>
 #include <stdio.h>
@@ -24,19 +26,21 @@
 
 #define LOG_DOMAIN "entryd"
 
-/** Bound on events waiting for the thread of decisions. */
+/** Maximum number of events in the mailbox. */
 #define MAILBOX_SIZE 65536
 
-/** Time between two ticks. */
-#define TICK_MS 20
+/** Time between two calls of rst_entry_tick(), in milliseconds. */
+#define TICK_INTERVAL_MS 20
 
-/** Most events handled between two ticks. */
-#define EVENTS_PER_TICK 512
+/** Maximum number of events handled before the next tick is considered. */
+#define EVENTS_PER_TICK_MAX 512
 
-/** Longest time that a planned stop waits for answers. */
+/** Longest time that a planned stop waits for pending requests, in
+    milliseconds. */
 #define DRAIN_TIMEOUT_MS 20000
 
-/** Time for which a stopping entry still answers, not ready. */
+/** Shortest duration of a planned stop, in milliseconds.  The entry still
+    serves callers but reports that it is not ready. */
 #define STOP_LINGER_MS 300
 
 struct settings
@@ -121,7 +125,7 @@
   struct rst_link_net link;
   struct rst_http_server *server;
   struct rst_entry *entry;
-  pthread_t thread;
+  pthread_t signal_thread;
   atomic_bool stop_requested;
   rst_ms next_tick;
   rst_ms stop_began_at;
@@ -140,27 +144,29 @@
   g_strlcpy (settings->log_level, "info", sizeof settings->log_level);
 }
 
-/* ---- Requests
- * --------------------------------------------------------------- */
+/* ---- Requests ----------------------------------------------------------- */
 
 static char *
 metrics_page (struct daemon *daemon)
 {
-  const struct rst_entry_counters *c = rst_entry_get_counters (daemon->entry);
+  const struct rst_entry_counters *counters
+      = rst_entry_get_counters (daemon->entry);
   GString *page = g_string_new ("");
 
   rst_metrics_add_counter (page, "requests_total", "Requests taken.",
-                           c->requests);
+                           counters->requests);
   rst_metrics_add_counter (page, "answered_total", "Requests answered.",
-                           c->answered);
+                           counters->answered);
   rst_metrics_add_counter (page, "not_run_total", "Requests not run.",
-                           c->not_run);
+                           counters->not_run);
   rst_metrics_add_counter (page, "unknown_total",
-                           "Requests whose outcome is unknown.", c->unknown);
+                           "Requests whose outcome is unknown.",
+                           counters->unknown);
   rst_metrics_add_counter (page, "unauthorized_total",
-                           "Requests without a valid key.", c->unauthorized);
+                           "Requests without a valid key.",
+                           counters->unauthorized);
   rst_metrics_add_counter (page, "retries_total", "Further attempts.",
-                           c->retries);
+                           counters->retries);
   rst_metrics_add_gauge (page, "pending", "Requests that wait for an answer.",
                          (double)rst_entry_count_pending (daemon->entry));
   rst_metrics_add_gauge (page, "ready", "Whether it can serve callers.",
@@ -169,7 +175,8 @@
   return g_string_free (page, FALSE);
 }
 
-/* Serves the pages that need no key.  Returns false for other paths. */
+/* Replies to requests for pages that need no key.  Returns false for other
+   paths. */
 static bool
 serve_page (struct daemon *daemon, struct rst_http_request *http)
 {
@@ -208,7 +215,8 @@
                           reply->length, reply->retry_after_s);
 }
 
-/* Finds the operation by method and path.  Returns false when none fits. */
+/* Reads the operation from method and path.  Returns false for an unknown
+   path. */
 static bool
 read_operation (struct rst_http_request *http,
                 struct rst_entry_request *request)
@@ -262,8 +270,7 @@
   rst_entry_handle_request (daemon->entry, http, &request);
 }
 
-/* ---- Events
- * ------------------------------------------------------------------- */
+/* ---- Events ------------------------------------------------------------- */
 
 static void
 on_request (struct rst_http_request *request, void *userdata)
@@ -271,7 +278,7 @@
   struct daemon *daemon = userdata;
   struct rst_event *event = g_new0 (struct rst_event, 1);
 
-  event->kind = RST_EVENT_HTTP;
+  event->kind = RST_EVENT_HTTP_REQUEST;
   event->request = request;
   rst_event_post (daemon->mailbox, event);
 }
@@ -281,16 +288,16 @@
 {
   switch (event->kind)
     {
-    case RST_EVENT_OPENED:
+    case RST_EVENT_LINK_OPENED:
       rst_entry_handle_link_opened (daemon->entry, event->link);
       break;
-    case RST_EVENT_CLOSED:
+    case RST_EVENT_LINK_CLOSED:
       rst_entry_handle_link_closed (daemon->entry, event->link);
       break;
     case RST_EVENT_MESSAGE:
       rst_entry_handle_message (daemon->entry, event->link, &event->message);
       break;
-    case RST_EVENT_HTTP:
+    case RST_EVENT_HTTP_REQUEST:
       handle_request (daemon, event->request);
       break;
     default:
@@ -309,6 +316,8 @@
     handle_event (daemon, event);
 }
 
+/* Whether a planned stop is complete.  The first call after the request begins
+   the stop. */
 static bool
 is_stop_complete (struct daemon *daemon)
 {
@@ -337,17 +346,16 @@
 
       if (now < daemon->next_tick)
         rst_mailbox_wait (daemon->mailbox, (int)(daemon->next_tick - now));
-      handle_events (daemon, EVENTS_PER_TICK);
+      handle_events (daemon, EVENTS_PER_TICK_MAX);
       if (rst_os_now () >= daemon->next_tick)
         {
-          daemon->next_tick = rst_os_now () + TICK_MS;
+          daemon->next_tick = rst_os_now () + TICK_INTERVAL_MS;
           rst_entry_tick (daemon->entry);
         }
     }
 }
 
-/* ---- Start and stop
- * --------------------------------------------------------------- */
+/* ---- Start and stop ----------------------------------------------------- */
 
 static void
 add_schedulers (struct daemon *daemon)
@@ -426,7 +434,7 @@
 main (int argc, char **argv)
 {
   static struct daemon daemon;
-  struct rst_log_config log = { 0 };
+  struct rst_log_config log_config = { 0 };
   int status = EXIT_FAILURE;
   int exit_status;
 
@@ -437,20 +445,22 @@
   rst_os_block_signals ();
   if (sodium_init () < 0)
     return EXIT_FAILURE;
-  log.json = strcmp (daemon.settings.log_format, "json") == 0;
-  g_strlcpy (log.level, daemon.settings.log_level, sizeof log.level);
-  rst_log_init (daemon.settings.name, &log);
+  log_config.json = strcmp (daemon.settings.log_format, "json") == 0;
+  g_strlcpy (log_config.level, daemon.settings.log_level,
+             sizeof log_config.level);
+  rst_log_init (daemon.settings.name, &log_config);
   daemon.mailbox = rst_mailbox_create (MAILBOX_SIZE);
   daemon.link.mailbox = daemon.mailbox;
   if (daemon.mailbox == NULL || !start_servers (&daemon))
     goto done;
-  if (pthread_create (&daemon.thread, NULL, wait_for_stop_signal, &daemon)
+  if (pthread_create (&daemon.signal_thread, NULL, wait_for_stop_signal,
+                      &daemon)
       != 0)
     goto done;
   printf ("ready http=%s\n", rst_http_server_address (daemon.server));
   fflush (stdout);
   run_loop (&daemon);
-  pthread_join (daemon.thread, NULL);
+  pthread_join (daemon.signal_thread, NULL);
   rst_info (LOG_DOMAIN, "Stopped.");
   status = EXIT_SUCCESS;
 
--- a/src/daemon/jobd.c
+++ b/src/daemon/jobd.c
@@ -1,9 +1,10 @@
 /**
- * DOC: jobd - takes callers' jobs and passes their calls to the planner
+ * DOC: jobd - forwards callers' calls on jobs to the planner
  *
- * Every entry instance runs one.  A call is passed on at most once to each
- * planner; after a planner was lost it is passed to the next one, since
- * handing a job in twice leaves it one job.
+ * Every entry instance runs one jobd process.  A call is sent to each planner
+ * at most once.  When the link to the planner is lost, the call is sent again
+ * to the next planner; this is safe because submitting a job twice creates
+ * only one job.
  */
 #include <stdatomic.h>
 #include <stdlib.h>
@@ -22,26 +23,30 @@
 
 #define LOG_DOMAIN "jobd"
 
-/** How long a caller waits when it does not say, in milliseconds. */
+/** Deadline of a request that does not set one, in milliseconds. */
 #define DEFAULT_DEADLINE_MS 3000
 
-/** An answer is given this long before the caller stops waiting. */
+/** A call is answered this long before the caller's deadline, in milliseconds.
+ */
 #define DEADLINE_MARGIN_MS 150
 
-/** A call that no planner has taken yet is turned away after this. */
+/** A call that could not be sent to a planner for this long is rejected; in
+    milliseconds. */
 #define UNSENT_TIMEOUT_MS 1500
 
-/** Bound on calls that wait for an answer. */
-#define PENDING_MAX 2000
+/** Maximum number of calls without an answer; more are rejected. */
+#define PENDING_CALLS_MAX 2000
 
-/** A stopping process answers on for this long, not ready, so that the
-    balancer takes it out: two missed checks, one a second, and a margin. */
+/** How long a stopping process still serves callers while it reports that it
+    is not ready, in milliseconds.  The load balancer checks once a second and
+    removes a process after two failed checks. */
 #define STOP_LINGER_MS 3000
 
-/** Longest wait for the last answers at a planned stop. */
+/** Longest duration of a planned stop, in milliseconds. */
 #define STOP_TIMEOUT_MS 4500
 
-/** Time between two looks at deadlines. */
+/** Time between two checks of the deadlines of pending calls, in milliseconds.
+ */
 #define DEADLINE_CHECK_INTERVAL_MS 50
 
 struct settings
@@ -87,7 +92,7 @@
   struct rst_planner_client *planner_client;
   struct rst_http_server *caller_server;
   struct rst_http_server *readiness_server;
-  GHashTable *pending;
+  GHashTable *pending_calls;
   struct rst_call_stats stats;
   uint64_t next_number;
   atomic_bool ready;
@@ -98,8 +103,8 @@
   rst_ms next_deadline_check;
 };
 
-/* A call that waits for the planner's answer. */
-struct pending
+/* A call that has no answer yet. */
+struct pending_call
 {
   uint64_t number;
   struct rst_http_request *request;
@@ -107,18 +112,19 @@
   GByteArray *frame;
   rst_ms received_at;
   rst_ms answer_deadline;
+  /* Sent over the current link to the planner. */
   bool sent;
-  /* Passed on over a link that is gone; what became of it is not known. */
+  /* Sent over an earlier link, so its outcome is unknown. */
   bool sent_on_lost_link;
 };
 
 static void
 free_pending_call (gpointer data)
 {
-  struct pending *pending = data;
+  struct pending_call *call = data;
 
-  g_byte_array_free (pending->frame, TRUE);
-  g_free (pending);
+  g_byte_array_free (call->frame, TRUE);
+  g_free (call);
 }
 
 static void
@@ -138,21 +144,21 @@
   send_reply (request, status, text, retry_s);
 }
 
-/* Gives a call its answer and counts it. */
+/* Replies to a call, counts it and frees it. */
 static void
-finish_call (struct jobd *jobd, struct pending *pending, unsigned status,
+finish_call (struct jobd *jobd, struct pending_call *call, unsigned status,
              const char *text, unsigned retry_s)
 {
-  rst_call_stats_record (&jobd->stats, pending->operation, status,
-                         rst_os_now () - pending->received_at);
-  send_reply (pending->request, status, text, retry_s);
-  g_hash_table_remove (jobd->pending, &pending->number);
+  rst_call_stats_record (&jobd->stats, call->operation, status,
+                         rst_os_now () - call->received_at);
+  send_reply (call->request, status, text, retry_s);
+  g_hash_table_remove (jobd->pending_calls, &call->number);
 }
 
-/* Ends a call without success; its path holds the job's id. */
+/* Replies to a call with an error, and logs it. */
 static void
-reject_call (struct jobd *jobd, struct pending *pending, unsigned status,
-             const char *why, unsigned retry_s)
+reject_call (struct jobd *jobd, struct pending_call *call, unsigned status,
+             const char *reason, unsigned retry_s)
 {
   char text[256];
 
@@ -163,23 +169,23 @@
 
       g_snprintf (number, sizeof number, "%u", status);
       g_snprintf (age, sizeof age, "%lld",
-                  (long long)(rst_os_now () - pending->received_at));
-      rst_info (LOG_DOMAIN, "Call turned away.", "path",
-                rst_http_request_path (pending->request), "status", number,
-                "why", why, "age_ms", age, "passed_on",
-                pending->sent || pending->sent_on_lost_link ? "yes" : "no");
+                  (long long)(rst_os_now () - call->received_at));
+      rst_info (LOG_DOMAIN, "Call failed.", "path",
+                rst_http_request_path (call->request), "status", number, "why",
+                reason, "age_ms", age, "passed_on",
+                call->sent || call->sent_on_lost_link ? "yes" : "no");
     }
-  g_snprintf (text, sizeof text, "{\"error\":\"%s\"}\n", why);
-  finish_call (jobd, pending, status, text, retry_s);
+  g_snprintf (text, sizeof text, "{\"error\":\"%s\"}\n", reason);
+  finish_call (jobd, call, status, text, retry_s);
 }
 
 static void
-forward_call (struct jobd *jobd, struct pending *pending)
+forward_call (struct jobd *jobd, struct pending_call *call)
 {
-  if (!jobd->serving || pending->sent)
+  if (!jobd->serving || call->sent)
     return;
-  pending->sent = rst_planner_client_send (
-      jobd->planner_client, pending->frame->data, pending->frame->len);
+  call->sent = rst_planner_client_send (jobd->planner_client,
+                                        call->frame->data, call->frame->len);
 }
 
 static const char *
@@ -190,24 +196,24 @@
   return value != NULL ? value : "";
 }
 
-/* The key stands in a header of its own. */
+/* Encodes a call for the planner.  The key comes from a separate header. */
 static void
-pack_call (struct pending *pending, const struct rst_jobdesc *desc)
+pack_call (struct pending_call *call, const struct rst_jobdesc *desc)
 {
-  const struct rst_http_request *request = pending->request;
+  const struct rst_http_request *request = call->request;
   struct rst_pack pack;
 
   rst_pack_init (&pack, desc != NULL ? 7 : 6);
   rst_pack_int (&pack, RST_MSG_CALL);
-  rst_pack_int (&pack, (int64_t)pending->number);
-  rst_pack_int (&pack, pending->operation);
+  rst_pack_int (&pack, (int64_t)call->number);
+  rst_pack_int (&pack, call->operation);
   rst_pack_text (&pack, get_header (request, "Host"));
   rst_pack_text (&pack, rst_http_request_path (request));
   rst_pack_text (&pack, get_header (request, RST_PLATFORM_API_KEY_HEADER));
   if (desc != NULL)
     rst_jobdesc_pack (&pack, desc);
-  pending->frame = g_byte_array_new ();
-  g_byte_array_append (pending->frame, (const guint8 *)pack.buffer.data,
+  call->frame = g_byte_array_new ();
+  g_byte_array_append (call->frame, (const guint8 *)pack.buffer.data,
                        (guint)pack.buffer.size);
   rst_pack_clear (&pack);
 }
@@ -230,7 +236,7 @@
 }
 
 static rst_ms
-caller_wait_ms (const struct rst_http_request *request)
+get_caller_wait_ms (const struct rst_http_request *request)
 {
   const char *text
       = rst_http_request_header (request, RST_PLATFORM_DEADLINE_HEADER);
@@ -246,7 +252,7 @@
   enum rst_operation operation;
   struct rst_jobdesc *desc = NULL;
   const char *problem = NULL;
-  struct pending *pending;
+  struct pending_call *call;
   rst_ms now = rst_os_now ();
 
   if (!read_operation (request, &operation))
@@ -254,7 +260,7 @@
       send_error (request, 405, "method: must be GET, POST or DELETE", 0);
       return;
     }
-  if (g_hash_table_size (jobd->pending) >= PENDING_MAX)
+  if (g_hash_table_size (jobd->pending_calls) >= PENDING_CALLS_MAX)
     {
       send_error (request, 503, "too many calls wait", 1);
       return;
@@ -264,19 +270,21 @@
       desc = rst_adapter_parse_job (rst_http_request_body (request, NULL),
                                     &problem);
       if (desc == NULL)
-        rst_info (LOG_DOMAIN, "Job can't be read.", "problem", problem);
+        rst_info (LOG_DOMAIN,
+                  "Submitted job can't be read; the planner will reject it.",
+                  "problem", problem);
     }
-  pending = g_new0 (struct pending, 1);
-  pending->number = jobd->next_number++;
-  pending->request = request;
-  pending->operation = operation;
-  pending->received_at = now;
-  pending->answer_deadline
-      = now + caller_wait_ms (request) - DEADLINE_MARGIN_MS;
-  pack_call (pending, desc);
+  call = g_new0 (struct pending_call, 1);
+  call->number = jobd->next_number++;
+  call->request = request;
+  call->operation = operation;
+  call->received_at = now;
+  call->answer_deadline
+      = now + get_caller_wait_ms (request) - DEADLINE_MARGIN_MS;
+  pack_call (call, desc);
   rst_jobdesc_destroy (desc);
-  g_hash_table_insert (jobd->pending, &pending->number, pending);
-  forward_call (jobd, pending);
+  g_hash_table_insert (jobd->pending_calls, &call->number, call);
+  forward_call (jobd, call);
 }
 
 static void
@@ -286,7 +294,7 @@
   char *page;
 
   page = rst_call_metrics_format_page (&jobd->stats,
-                                       g_hash_table_size (jobd->pending),
+                                       g_hash_table_size (jobd->pending_calls),
                                        atomic_load (&jobd->ready));
   rst_http_request_reply (request, 200, "text/plain", page, strlen (page), 0);
   g_free (page);
@@ -304,7 +312,7 @@
 }
 
 static void
-finish_with_state (struct jobd *jobd, struct pending *pending,
+finish_with_state (struct jobd *jobd, struct pending_call *call,
                    enum rst_job_state state)
 {
   static const char *const names[]
@@ -312,43 +320,43 @@
   char text[64];
 
   g_snprintf (text, sizeof text, "{\"state\":\"%s\"}\n", names[state]);
-  finish_call (jobd, pending, 200, text, 0);
+  finish_call (jobd, call, 200, text, 0);
 }
 
 static void
-finish_with_count (struct jobd *jobd, struct pending *pending, int64_t count)
+finish_with_count (struct jobd *jobd, struct pending_call *call, int64_t count)
 {
   char text[64];
 
   g_snprintf (text, sizeof text, "{\"pending\":%lld}\n", (long long)count);
-  finish_call (jobd, pending, 200, text, 0);
+  finish_call (jobd, call, 200, text, 0);
 }
 
-/* Answers of the planner that are no success, as a status and its reason. */
+/* Replies to a call with the HTTP status for an unsuccessful outcome. */
 static void
-reject_with_outcome (struct jobd *jobd, struct pending *pending,
+reject_with_outcome (struct jobd *jobd, struct pending_call *call,
                      enum rst_outcome outcome, unsigned retry_s)
 {
   switch (outcome)
     {
     case RST_OUTCOME_NO_QUEUE:
-      reject_call (jobd, pending, 404, "no such queue", 0);
+      reject_call (jobd, call, 404, "no such queue", 0);
       break;
     case RST_OUTCOME_INVALID_KEY:
-      reject_call (jobd, pending, 401, "unknown key", 0);
+      reject_call (jobd, call, 401, "unknown key", 0);
       break;
     case RST_OUTCOME_NO_JOB:
-      reject_call (jobd, pending, 410, "no such job", 0);
+      reject_call (jobd, call, 410, "no such job", 0);
       break;
     case RST_OUTCOME_MALFORMED:
-      reject_call (jobd, pending, 400, "not a job", 0);
+      reject_call (jobd, call, 400, "not a job", 0);
       break;
     case RST_OUTCOME_REJECTED:
-      reject_call (jobd, pending, pending->sent_on_lost_link ? 504 : 503,
+      reject_call (jobd, call, call->sent_on_lost_link ? 504 : 503,
                    "turned away", retry_s);
       break;
     default:
-      reject_call (jobd, pending, 504, "not known", retry_s);
+      reject_call (jobd, call, 504, "not known", retry_s);
       break;
     }
 }
@@ -361,18 +369,19 @@
   int64_t state = rst_reader_read_int (reader);
   int64_t count = rst_reader_read_int (reader);
   unsigned retry_s = (unsigned)rst_reader_read_int (reader);
-  struct pending *pending = g_hash_table_lookup (jobd->pending, &number);
+  struct pending_call *call
+      = g_hash_table_lookup (jobd->pending_calls, &number);
 
-  if (pending == NULL || reader->bad)
+  if (call == NULL || reader->bad)
     return;
   if (outcome == RST_OUTCOME_OK)
-    finish_call (jobd, pending, 200, "{\"accepted\":true}\n", 0);
+    finish_call (jobd, call, 200, "{\"accepted\":true}\n", 0);
   else if (outcome == RST_OUTCOME_STATE)
-    finish_with_state (jobd, pending, (enum rst_job_state)state);
+    finish_with_state (jobd, call, (enum rst_job_state)state);
   else if (outcome == RST_OUTCOME_COUNT)
-    finish_with_count (jobd, pending, count);
+    finish_with_count (jobd, call, count);
   else
-    reject_with_outcome (jobd, pending, outcome, retry_s);
+    reject_with_outcome (jobd, call, outcome, retry_s);
 }
 
 static void
@@ -390,10 +399,10 @@
   gpointer value;
 
   if (serving && !jobd->serving)
-    rst_info (LOG_DOMAIN, "Callers are served.");
+    rst_info (LOG_DOMAIN, "Planner is ready; serving callers.");
   jobd->serving = serving;
   atomic_store (&jobd->ready, serving && !jobd->stopping);
-  g_hash_table_iter_init (&iter, jobd->pending);
+  g_hash_table_iter_init (&iter, jobd->pending_calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     forward_call (jobd, value);
 }
@@ -405,15 +414,16 @@
   GHashTableIter iter;
   gpointer value;
 
-  rst_info (LOG_DOMAIN, "Planner lost.");
+  rst_info (LOG_DOMAIN,
+            "Link to the planner lost; callers wait for the next planner.");
   jobd->serving = false;
-  g_hash_table_iter_init (&iter, jobd->pending);
+  g_hash_table_iter_init (&iter, jobd->pending_calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      struct pending *pending = value;
+      struct pending_call *call = value;
 
-      pending->sent_on_lost_link |= pending->sent;
-      pending->sent = false;
+      call->sent_on_lost_link |= call->sent;
+      call->sent = false;
     }
 }
 
@@ -424,25 +434,25 @@
   (void)store_age_ms;
 }
 
-/* Answers calls whose caller stops waiting soon. */
+/* Replies to calls that are close to their deadline or could not be sent. */
 static void
 expire_calls (struct jobd *jobd, rst_ms now)
 {
-  GList *all = g_hash_table_get_values (jobd->pending);
+  GList *calls = g_hash_table_get_values (jobd->pending_calls);
 
-  for (GList *item = all; item != NULL; item = item->next)
+  for (GList *node = calls; node != NULL; node = node->next)
     {
-      struct pending *pending = item->data;
-      bool sent = pending->sent || pending->sent_on_lost_link;
+      struct pending_call *call = node->data;
+      bool sent = call->sent || call->sent_on_lost_link;
 
-      if (sent && now >= pending->answer_deadline)
-        reject_call (jobd, pending, 504, "no answer in time", 0);
+      if (sent && now >= call->answer_deadline)
+        reject_call (jobd, call, 504, "no answer in time", 0);
       else if (!sent
-               && (now >= pending->answer_deadline
-                   || now - pending->received_at >= UNSENT_TIMEOUT_MS))
-        reject_call (jobd, pending, 503, "no planner", 1);
+               && (now >= call->answer_deadline
+                   || now - call->received_at >= UNSENT_TIMEOUT_MS))
+        reject_call (jobd, call, 503, "no planner", 1);
     }
-  g_list_free (all);
+  g_list_free (calls);
 }
 
 static void
@@ -467,21 +477,23 @@
   struct jobd *jobd = userdata;
   rst_ms now = rst_os_now ();
   rst_ms wake = rst_planner_client_run (jobd->planner_client);
-  bool any = g_hash_table_size (jobd->pending) > 0;
+  bool has_pending_calls = g_hash_table_size (jobd->pending_calls) > 0;
 
-  if (any && now >= jobd->next_deadline_check)
+  if (has_pending_calls && now >= jobd->next_deadline_check)
     {
       jobd->next_deadline_check = now + DEADLINE_CHECK_INTERVAL_MS;
       expire_calls (jobd, now);
     }
-  if (any)
+  if (has_pending_calls)
     wake = MIN (wake, jobd->next_deadline_check);
-  /* Without a planner this instance should get no new connections. */
+  /* While there is no planner the load balancer should send callers to other
+     instances. */
   if (!jobd->serving)
     atomic_store (&jobd->ready, false);
   if (!jobd->stopping)
     return wake;
-  if ((now >= jobd->linger_until && !any) || now >= jobd->stop_deadline)
+  if ((now >= jobd->linger_until && !has_pending_calls)
+      || now >= jobd->stop_deadline)
     rst_cell_loop_stop (jobd->loop);
   return MIN (wake, now + DEADLINE_CHECK_INTERVAL_MS);
 }
@@ -491,7 +503,7 @@
 {
   struct jobd *jobd = userdata;
 
-  rst_info (LOG_DOMAIN, "Planned stop.");
+  rst_info (LOG_DOMAIN, "Planned stop begins.");
   jobd->stopping = true;
   atomic_store (&jobd->ready, false);
   rst_http_server_disable_keep_alive (jobd->caller_server);
@@ -526,27 +538,27 @@
 static void
 create_planner_client (struct jobd *jobd)
 {
-  struct rst_planner_client_config planner_client = { 0 };
+  struct rst_planner_client_config client_config = { 0 };
 
-  planner_client.backend = rst_cell_loop_wrap_backend (
+  client_config.backend = rst_cell_loop_wrap_backend (
       jobd->loop, rst_adapter_get_backend (jobd->adapter));
-  planner_client.now = rst_os_now;
-  planner_client.connect = open_link;
-  planner_client.close = close_link;
-  planner_client.send = send_frame;
-  planner_client.on_message = on_message;
-  planner_client.on_connected = on_connected;
-  planner_client.on_disconnected = on_disconnected;
-  planner_client.on_heartbeat = on_heartbeat;
-  planner_client.userdata = jobd;
-  planner_client.role = RST_ROLE_ENTRY;
-  planner_client.name = jobd->settings.name;
-  planner_client.zone = jobd->settings.zone;
-  jobd->planner_client = rst_planner_client_create (&planner_client);
+  client_config.now = rst_os_now;
+  client_config.connect = open_link;
+  client_config.close = close_link;
+  client_config.send = send_frame;
+  client_config.on_message = on_message;
+  client_config.on_connected = on_connected;
+  client_config.on_disconnected = on_disconnected;
+  client_config.on_heartbeat = on_heartbeat;
+  client_config.userdata = jobd;
+  client_config.role = RST_ROLE_ENTRY;
+  client_config.name = jobd->settings.name;
+  client_config.zone = jobd->settings.zone;
+  jobd->planner_client = rst_planner_client_create (&client_config);
 }
 
 static bool
-open_servers (struct jobd *jobd)
+start_servers (struct jobd *jobd)
 {
   struct rst_http_server_config config = { 0 };
 
@@ -560,7 +572,7 @@
                                        &jobd->caller_server)
       != RST_TRANSPORT_OK)
     {
-      rst_warning (LOG_DOMAIN, "listen: the address can't be used.");
+      rst_warning (LOG_DOMAIN, "listen: address can't be used; exiting.");
       return false;
     }
   config.address = jobd->settings.readiness;
@@ -569,29 +581,29 @@
   if (rst_http_server_create (&config, &jobd->readiness_server)
       != RST_TRANSPORT_OK)
     {
-      rst_warning (LOG_DOMAIN, "readiness: the address can't be used.");
+      rst_warning (LOG_DOMAIN, "readiness: address can't be used; exiting.");
       return false;
     }
   if (rst_cell_loop_start_page_server (jobd->loop, jobd->settings.metrics,
                                        serve_metrics, jobd)
       != RST_TRANSPORT_OK)
     {
-      rst_warning (LOG_DOMAIN, "metrics: the address can't be used.");
+      rst_warning (LOG_DOMAIN, "metrics: address can't be used; exiting.");
       return false;
     }
   return true;
 }
 
 static const struct rst_program program
-    = { "rosemarystile-jobd", "takes callers' jobs", fields,
-        G_N_ELEMENTS (fields), NULL };
+    = { "rosemarystile-jobd", "forwards callers' calls on jobs to the planner",
+        fields, G_N_ELEMENTS (fields), NULL };
 
 int
 main (int argc, char **argv)
 {
   struct jobd jobd = { 0 };
-  struct rst_cell_loop_config loop = { on_link_event, on_tick, &jobd };
-  struct rst_log_config log = { false, "info", true };
+  struct rst_cell_loop_config loop_config = { on_link_event, on_tick, &jobd };
+  struct rst_log_config log_config = { false, "info", true };
   int status;
 
   jobd.settings.max_body_bytes = 262144;
@@ -601,19 +613,20 @@
   if (status >= 0)
     return status;
   rst_os_block_signals ();
-  g_strlcpy (log.level, jobd.settings.log_level, sizeof log.level);
-  rst_log_init (program.name, &log);
+  g_strlcpy (log_config.level, jobd.settings.log_level,
+             sizeof log_config.level);
+  rst_log_init (program.name, &log_config);
   jobd.next_number = 1;
-  jobd.pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
-                                        free_pending_call);
-  jobd.loop = rst_cell_loop_create (&loop);
+  jobd.pending_calls = g_hash_table_new_full (g_int64_hash, g_int64_equal,
+                                              NULL, free_pending_call);
+  jobd.loop = rst_cell_loop_create (&loop_config);
   jobd.client = rst_http_client_create (64, 0);
   if (jobd.loop == NULL || jobd.client == NULL)
     return EXIT_FAILURE;
   jobd.adapter = rst_adapter_create (jobd.client, jobd.settings.store, "");
   create_planner_client (&jobd);
   if (rst_cell_loop_listen (jobd.loop, NULL) != RST_TRANSPORT_OK
-      || !open_servers (&jobd))
+      || !start_servers (&jobd))
     return EXIT_FAILURE;
   rst_info (LOG_DOMAIN, "Started.", "name", jobd.settings.name, "listen",
             rst_http_server_address (jobd.caller_server));
@@ -621,6 +634,6 @@
   rst_cell_loop_run (jobd.loop);
   rst_http_server_destroy (jobd.caller_server);
   rst_info (LOG_DOMAIN, "Stopped.");
-  /* Threads may still post into the loop; the process's end frees all. */
+  /* Other threads may still post to the loop, so it is not destroyed. */
   _exit (EXIT_SUCCESS);
 }
--- a/src/daemon/metrics.c
+++ b/src/daemon/metrics.c
@@ -2,7 +2,7 @@
 
 #include "util/os.h"
 
-/** Prefix of all names. */
+/** Prefix of the names of all metrics. */
 #define METRICS_PREFIX "rosemarystile_"
 
 void
@@ -38,12 +38,13 @@
                           name, help, name, type);
 }
 
-/* Writes one sample; @bound is a bucket's upper bound, or NULL. */
+/* Appends one sample.  @suffix is appended to @name; @bound is the upper bound
+   of a histogram's bucket, or NULL. */
 static void
 write_sample (GString *page, const char *name, const char *suffix,
               struct rst_metrics_label label, const char *bound, double value)
 {
-  const char *comma = label.name != NULL && bound != NULL ? "," : "";
+  const char *separator = label.name != NULL && bound != NULL ? "," : "";
 
   g_string_append_printf (page, METRICS_PREFIX "%s%s", name, suffix);
   if (label.name != NULL || bound != NULL)
@@ -51,7 +52,7 @@
   if (label.name != NULL)
     g_string_append_printf (page, "%s=\"%s\"", label.name, label.value);
   if (bound != NULL)
-    g_string_append_printf (page, "%sle=\"%s\"", comma, bound);
+    g_string_append_printf (page, "%sle=\"%s\"", separator, bound);
   if (label.name != NULL || bound != NULL)
     g_string_append_c (page, '}');
   g_string_append_printf (page, " %.10g\n", value);
@@ -69,15 +70,15 @@
                            struct rst_metrics_label label,
                            const struct rst_histogram *histogram)
 {
-  uint64_t below = 0;
+  uint64_t cumulative = 0;
   char bound[24];
 
   for (int i = 0; i < RST_HISTOGRAM_BOUND_COUNT; i++)
     {
-      below += histogram->counts[i];
+      cumulative += histogram->counts[i];
       g_snprintf (bound, sizeof bound, "%g",
                   (double)rst_histogram_bound_ms (i) / 1000.0);
-      write_sample (page, name, "_bucket", label, bound, (double)below);
+      write_sample (page, name, "_bucket", label, bound, (double)cumulative);
     }
   write_sample (page, name, "_bucket", label, "+Inf",
                 (double)histogram->total);
--- a/src/daemon/term.c
+++ b/src/daemon/term.c
@@ -4,13 +4,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** The planner's key is renewed when nothing was committed for this long. */
+/** The planner record is rewritten when nothing was committed for this long,
+    to show that the planner is alive; in milliseconds. */
 #define RECORD_RENEW_MS 250
 
-/** Time between two messages that the planner is alive. */
+/** Time between two heartbeats to all links, in milliseconds. */
 #define HEARTBEAT_INTERVAL_MS 250
 
-/** Age said of the store's last word when a commit failed. */
+/** Least age of the store's confirmation that heartbeats report after a failed
+    commit, in milliseconds.  It is above the age at which receivers read the
+    planner record themselves. */
 #define FAILED_COMMIT_AGE_MS 1000
 
 static void
@@ -25,12 +28,11 @@
   g_free (term);
 }
 
-/* Counts an answered call; true when the term goes on. */
 bool
 rst_term_finish_call (struct rst_term *term)
 {
   term->pending_calls--;
-  if (!term->ended)
+  if (!term->destroyed)
     return true;
   if (term->pending_calls == 0)
     free_term (term);
@@ -38,13 +40,14 @@
 }
 
 static void
-end_term (struct rst_term *term, const char *why)
+end_term (struct rst_term *term, const char *reason)
 {
-  if (term->over)
+  if (term->ended)
     return;
-  term->over = true;
-  rst_info (RST_TERM_LOG_PREFIX, "Term ended.", "why", why);
-  term->config.ended (term->config.userdata);
+  term->ended = true;
+  rst_info (RST_TERM_LOG_DOMAIN,
+            "Term ended; this process is not the planner.", "why", reason);
+  term->config.on_ended (term->config.userdata);
 }
 
 void
@@ -58,7 +61,7 @@
   g_hash_table_iter_init (&iter, term->links);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     term->config.close (term->config.userdata, *(uint64_t *)key);
-  term->ended = true;
+  term->destroyed = true;
   rst_prefix_watch_destroy (term->operator_watch);
   rst_prefix_watch_destroy (term->instance_watch);
   if (term->pending_calls == 0)
@@ -66,7 +69,7 @@
 }
 
 static void
-segment_key (char *out, size_t size, int64_t segment)
+format_segment_key (char *out, size_t size, int64_t segment)
 {
   g_snprintf (out, size, RST_TERM_SEGMENT_PREFIX "%016" PRIx64, segment);
 }
@@ -104,7 +107,9 @@
 
 static void on_commit (struct rst_store_answer *answer, void *userdata);
 
-/* Sends the change under way, again if need be; only one copy can win. */
+/* Sends the current commit, or sends it again when its outcome is not known.
+   Every copy expects the same revision of the planner record, so at most one
+   is applied. */
 static void
 send_commit (struct rst_term *term)
 {
@@ -119,7 +124,7 @@
   writes[0].expected = term->revision;
   if (term->current_change.segment != NULL)
     {
-      writes[count].key = term->current_change.key;
+      writes[count].key = term->current_change.segment_key;
       writes[count].value = term->current_change.segment->data;
       writes[count].length = term->current_change.segment->len;
       writes[count].expected = -1;
@@ -127,7 +132,7 @@
     }
   for (int i = 0; i < term->current_change.removed_count; i++)
     {
-      writes[count].key = term->current_change.removed[i];
+      writes[count].key = term->current_change.removed_keys[i];
       writes[count].expected = -1;
       writes[count].remove = true;
       count++;
@@ -140,11 +145,12 @@
   rst_pack_clear (&pack);
 }
 
-/* A change that comes while a commit is under way waits for the next. */
+/* Begins the next commit.  Only one is under way at a time; a change that
+   arrives meanwhile is kept in next_change. */
 static void
 begin_commit (struct rst_term *term)
 {
-  static const struct change none;
+  static const struct journal_change none;
 
   term->committing = true;
   term->resigned = term->resigning;
@@ -172,9 +178,9 @@
                             term->config.unix_now ());
       rst_planner_commit_done (term->planner);
     }
-  if (!term->won)
+  if (!term->elected)
     {
-      term->won = true;
+      term->elected = true;
       start_restore (term);
     }
   rst_planner_set_confirmed (term->planner, term->commit_sent_at);
@@ -184,7 +190,8 @@
     begin_commit (term);
 }
 
-/* The condition failed: either an earlier copy won, or someone else has. */
+/* The planner record has another revision than expected.  Either an earlier
+   copy of this commit was applied, or another process is the planner. */
 static void
 handle_commit_conflict (struct rst_term *term,
                         const struct rst_store_answer *answer)
@@ -194,10 +201,11 @@
 
   for (guint i = 0; i < answer->items->len; i++)
     {
-      const struct rst_store_item *at = g_ptr_array_index (answer->items, i);
+      const struct rst_store_item *candidate
+          = g_ptr_array_index (answer->items, i);
 
-      if (strcmp (at->key, RST_PLANNER_RECORD_KEY) == 0)
-        item = at;
+      if (strcmp (candidate->key, RST_PLANNER_RECORD_KEY) == 0)
+        item = candidate;
     }
   if (item != NULL && item->value != NULL
       && rst_planner_record_read (&record, item->value, item->length)
@@ -205,11 +213,11 @@
       && record.counter == term->record.counter
       && strcmp (record.name, term->record.name) == 0)
     handle_commit_success (term, item->revision);
-  else if (item != NULL && term->won && record.epoch > term->record.epoch
+  else if (item != NULL && term->elected && record.epoch > term->record.epoch
            && record.address[0] != '\0')
     rst_term_handle_redirect (term, record.epoch, record.address);
   else
-    end_term (term, term->won ? "another planner" : "another was first");
+    end_term (term, term->elected ? "another planner" : "another was first");
 }
 
 void
@@ -229,7 +237,8 @@
   end_term (term, "another planner");
 }
 
-/* Others look at once whether they reach the store. */
+/* Reports a high confirmation age to all links, so that the other processes
+   check at once whether they reach the store themselves. */
 static void
 handle_commit_failure (struct rst_term *term, enum rst_result result)
 {
@@ -240,8 +249,8 @@
               term->current_change.segment != NULL
                   ? term->current_change.segment->len
                   : 0);
-  rst_info (RST_TERM_LOG_PREFIX, "Commit is sent again.", "result",
-            rst_result_name (result), "bytes", bytes);
+  rst_info (RST_TERM_LOG_DOMAIN, "Commit failed; it will be sent again.",
+            "result", rst_result_name (result), "bytes", bytes);
   send_heartbeats (term,
                    MAX (now - term->last_commit_at, FAILED_COMMIT_AGE_MS));
   term->next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
@@ -260,7 +269,7 @@
         handle_commit_success (term, answer->revision);
       else if (answer->result == RST_RESULT_CONFLICT)
         handle_commit_conflict (term, answer);
-      else if (!term->won)
+      else if (!term->elected)
         end_term (term, "the store did not answer");
       else
         handle_commit_failure (term, answer->result);
@@ -268,21 +277,24 @@
   rst_store_answer_free (answer);
 }
 
-/* The planner's commit. */
+/* Accepts a segment from the planner, which submits the next one only after
+   rst_planner_commit_done(). */
 static void
 queue_commit (void *userdata, int64_t segment, const void *data, size_t length,
               const int64_t *remove, int remove_count)
 {
   struct rst_term *term = userdata;
 
-  struct change *change = &term->next_change;
+  struct journal_change *change = &term->next_change;
 
-  segment_key (change->key, sizeof change->key, segment);
+  format_segment_key (change->segment_key, sizeof change->segment_key,
+                      segment);
   change->segment = g_byte_array_new ();
   g_byte_array_append (change->segment, data, (guint)length);
   change->removed_count = MIN (remove_count, RST_TERM_COMMIT_WRITES_MAX - 2);
   for (int i = 0; i < change->removed_count; i++)
-    segment_key (change->removed[i], sizeof change->removed[i], remove[i]);
+    format_segment_key (change->removed_keys[i],
+                        sizeof change->removed_keys[i], remove[i]);
   if (!term->committing)
     begin_commit (term);
 }
@@ -331,9 +343,9 @@
   char epoch[24];
 
   g_snprintf (epoch, sizeof epoch, "%" PRId64, term->record.epoch);
-  rst_info (RST_TERM_LOG_PREFIX, "This process is the planner.", "epoch",
+  rst_info (RST_TERM_LOG_DOMAIN, "This process is the planner.", "epoch",
             epoch);
-  term->config.won (term->config.userdata);
+  term->config.on_elected (term->config.userdata);
   term->planner
       = rst_planner_create (&ops, &term->config.timing, term->record.epoch);
   term->restore_phase = RESTORE_JOURNAL;
@@ -421,7 +433,7 @@
   struct rst_reader reader;
   int kind;
 
-  if (term->over)
+  if (term->ended)
     return;
   if (term->planner == NULL
       || !rst_reader_open (&reader, &unpacked, data, length))
@@ -458,7 +470,7 @@
   gpointer key;
 
   term->serving = true;
-  rst_info (RST_TERM_LOG_PREFIX, "Callers are served.");
+  rst_info (RST_TERM_LOG_DOMAIN, "Planner is ready; serving callers.");
   g_hash_table_iter_init (&iter, term->links);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     send_welcome (term, *(uint64_t *)key);
@@ -487,7 +499,7 @@
   if (term->committing && !term->commit_in_flight
       && now >= term->commit_retry_at)
     send_commit (term);
-  if (!term->won)
+  if (!term->elected)
     return wake;
   if (!term->committing && now - term->last_commit_at >= RECORD_RENEW_MS)
     begin_commit (term);
