--- a/test/bench/measure.cc
+++ b/test/bench/measure.cc
@@ -43,17 +43,17 @@
 /* One point: idle or loaded cell of a shape; figures for one process, store
    calls for the whole cell. */
 void
-measure_point (const char *name, int value, const ClusterConfig &shape,
+measure_point (const char *name, int value, const ClusterConfig &cluster,
                const Load &load)
 {
-  World world (shape, 7);
+  World world (cluster, 7);
   double seconds = MEASURE_MS / 1000.0;
   int64_t reads;
   int64_t writes;
 
   world.advance (SETTLE_MS);
   for (int i = 0; i < load.services; i++)
-    world.submit (i, i % shape.teams, 1, 20, 200, 0, false);
+    world.submit_job (i, i % cluster.teams, 1, 20, 200, 0, false);
   world.advance (load.services > 0 ? SETTLE_MS : 0);
   world.count_bytes = true;
   world.state_machine_ns = 0;
@@ -64,16 +64,16 @@
   for (ms t = 0; t < MEASURE_MS; t += 100)
     {
       for (int i = 0; i < load.queries_per_s / 10; i++)
-        world.request (i, i % shape.teams, false, false, 5, 2000);
+        world.send_request (i, i % cluster.teams, false, false, 5, 2000);
       for (int i = 0; i < load.settings && t % 1000 == 0; i++)
-        world.set_limit (i % shape.teams, shape.upper_limit);
+        world.set_limit (i % cluster.teams, cluster.upper_limit);
       world.advance (100);
     }
   printf ("%-12s %6d | %9.3f %9.1f %9.2f %9.1f %9.1f %8.1f\n", name, value,
-          (double)world.state_machine_ns / 1e9 / seconds / world.nodes ()
+          (double)world.state_machine_ns / 1e9 / seconds / world.node_count ()
               * 100,
-          (double)world.messages / seconds / world.nodes (),
-          (double)world.message_bytes / 1024 / seconds / world.nodes (),
+          (double)world.messages / seconds / world.node_count (),
+          (double)world.message_bytes / 1024 / seconds / world.node_count (),
           (double)(world.store_reads - reads) / seconds,
           (double)(world.store_writes - writes) / seconds,
           (double)rst_os_resident_kib () / 1024);
@@ -82,34 +82,34 @@
 ClusterConfig
 make_reference_cluster ()
 {
-  ClusterConfig shape;
-
-  shape.runners = 17;
-  shape.workers = 17;
-  shape.slots = 8;
-  shape.cpu = 16000;
-  shape.memory = 65536;
-  shape.upper_limit = 2000;
-  return shape;
+  ClusterConfig cluster;
+
+  cluster.runners_per_zone = 17;
+  cluster.workers_per_zone = 17;
+  cluster.slots_per_runner = 8;
+  cluster.cpu_milli_per_worker = 16000;
+  cluster.memory_mb_per_worker = 65536;
+  cluster.upper_limit = 2000;
+  return cluster;
 }
 
 /* Time of one placement of a query with a number of owned runners. */
 void
 measure_decision (int runners)
 {
-  ClusterConfig shape = make_reference_cluster ();
+  ClusterConfig cluster = make_reference_cluster ();
   int requests = 3000;
 
-  shape.zones = 1;
-  shape.schedulers = 1;
-  shape.runners = runners;
-  shape.workers = 0;
-  World world (shape, 7);
+  cluster.zones = 1;
+  cluster.schedulers_per_zone = 1;
+  cluster.runners_per_zone = runners;
+  cluster.workers_per_zone = 0;
+  World world (cluster, 7);
 
   world.advance (SETTLE_MS);
   /* Parts of the limits grow first. */
   for (int i = 0; i < 600; i++)
-    world.request (0, i % shape.teams, false, false, 5, 2000);
+    world.send_request (0, i % cluster.teams, false, false, 5, 2000);
   world.advance (5000);
 
   const struct rst_scheduler_counters *counters
@@ -119,7 +119,7 @@
 
   for (int i = 0; i < requests; i++)
     {
-      world.request (0, i % shape.teams, false, false, 5, 2000);
+      world.send_request (0, i % cluster.teams, false, false, 5, 2000);
       if (i % 20 == 19)
         world.advance (50);
     }
@@ -127,7 +127,7 @@
   printf ("decision     %6d | %9.2f us each, %d of %d answered\n", runners,
           (double)(counters->decision_ns - ns) / 1000
               / (double)(counters->decisions - decisions),
-          world.answered, requests + 600);
+          world.answered_count, requests + 600);
 }
 
 }
@@ -147,25 +147,25 @@
   print_header ();
   for (int instances : { 50, 275, 550, 1100 })
     {
-      ClusterConfig shape = make_reference_cluster ();
+      ClusterConfig cluster = make_reference_cluster ();
 
-      shape.runners = instances / 6;
-      shape.workers = instances / 6;
-      measure_point ("instances", instances, shape, Load ());
+      cluster.runners_per_zone = instances / 6;
+      cluster.workers_per_zone = instances / 6;
+      measure_point ("instances", instances, cluster, Load ());
     }
   for (int teams : { 6, 50, 100, 200 })
     {
-      ClusterConfig shape = make_reference_cluster ();
+      ClusterConfig cluster = make_reference_cluster ();
 
-      shape.teams = teams;
-      measure_point ("teams", teams, shape, Load ());
+      cluster.teams = teams;
+      measure_point ("teams", teams, cluster, Load ());
     }
   for (int schedulers : { 1, 2, 3, 5 })
     {
-      ClusterConfig shape = make_reference_cluster ();
+      ClusterConfig cluster = make_reference_cluster ();
 
-      shape.schedulers = schedulers;
-      measure_point ("schedulers", schedulers * 3, shape, Load ());
+      cluster.schedulers_per_zone = schedulers;
+      measure_point ("schedulers", schedulers * 3, cluster, Load ());
     }
   for (int services : { 0, 5, 10, 20 })
     {
--- a/test/fuzz/fuzz.cc
+++ b/test/fuzz/fuzz.cc
@@ -24,7 +24,7 @@
 namespace fuzz
 {
 
-enum Kind
+enum CommandKind
 {
   ADVANCE,
   REQUEST,
@@ -72,7 +72,7 @@
 
 struct Command
 {
-  Kind kind;
+  CommandKind kind;
   int a;
   int b;
 };
@@ -90,7 +90,7 @@
   using rc::gen::element;
   using rc::gen::just;
 
-  auto kind = rc::gen::weightedOneOf<Kind> (
+  auto kind = rc::gen::weightedOneOf<CommandKind> (
       { { 20, just (ADVANCE) },
         { 30, just (REQUEST) },
         { 5, just (REPEAT) },
@@ -123,8 +123,8 @@
 class ScriptRun
 {
 public:
-  explicit ScriptRun (uint64_t seed, const ClusterConfig &shape)
-      : world (shape, seed)
+  explicit ScriptRun (uint64_t seed, const ClusterConfig &cluster)
+      : world (cluster, seed)
   {
   }
 
@@ -163,10 +163,10 @@
   void
   print_states ()
   {
-    for (const auto &value : world.values)
+    for (const auto &value : world.store_values)
       if (value.first.compare (0, 7, "shared/") == 0)
         std::cout << value.first << ' ' << value.second.value << '\n';
-    for (int i = 0; i < world.schedulers (); i++)
+    for (int i = 0; i < world.scheduler_count (); i++)
       if (world.node (i)->is_alive ())
         {
           char *text = rst_scheduler_format_status (world.node (i)->scheduler);
@@ -186,24 +186,24 @@
         break;
       case REQUEST:
         for (int i = 0; i <= c.b % 4; i++)
-          world.request (c.a, c.b % world.shape.teams, c.a % 3 == 0,
-                         c.a % 4 == 0, c.a % 17 == 0 ? 1500 : 5 + c.a % 100,
-                         200 + c.b % 5000);
+          world.send_request (
+              c.a, c.b % world.cluster.teams, c.a % 3 == 0, c.a % 4 == 0,
+              c.a % 17 == 0 ? 1500 : 5 + c.a % 100, 200 + c.b % 5000);
         break;
       case QUIET_PERIOD:
         run_quiet_period (c);
         break;
       case REPEAT:
-        world.repeat_request (c.a,
-                              std::max (1, world.last_request () - c.b % 20));
+        world.repeat_request (
+            c.a, std::max (1, world.last_request_number () - c.b % 20));
         break;
       case SUBMIT:
-        world.submit (c.a, c.b % world.shape.teams,
-                      c.a % 10 < 7   ? 0
-                      : c.a % 10 < 9 ? 2
-                                     : 1,
-                      1 + c.b % 12, 500 + 500 * (c.a % 8), 100 + c.b % 3000,
-                      c.a % 2 == 0);
+        world.submit_job (c.a, c.b % world.cluster.teams,
+                          c.a % 10 < 7   ? 0
+                          : c.a % 10 < 9 ? 2
+                                         : 1,
+                          1 + c.b % 12, 500 + 500 * (c.a % 8),
+                          100 + c.b % 3000, c.a % 2 == 0);
         break;
       case CANCEL:
         world.cancel_job_by_index (c.a, c.b);
@@ -221,11 +221,11 @@
   {
     world.heal_faults ();
     world.advance (QUIET_PERIOD_MS);
-    for (int t = 0; t < world.shape.teams; t++)
+    for (int t = 0; t < world.cluster.teams; t++)
       {
-        world.request (c.a + t, t, false, false, 10, 2000);
+        world.send_request (c.a + t, t, false, false, 10, 2000);
         world.send_request_with_withdrawn_key (c.b + t, t);
-        world.submit (c.a + t, t, 0, 2, 500, 200, false);
+        world.submit_job (c.a + t, t, 0, 2, 500, 200, false);
       }
     world.advance (1000);
   }
@@ -233,7 +233,7 @@
   Node *
   pick_node (int which)
   {
-    return world.node (which % world.nodes ());
+    return world.node (which % world.node_count ());
   }
 
   void
@@ -245,43 +245,43 @@
         world.crash (pick_node (c.a));
         break;
       case RESTART:
-        for (int i = 0; i < world.nodes (); i++)
+        for (int i = 0; i < world.node_count (); i++)
           world.restart (world.node (i));
         break;
       case PAUSE:
         world.pause (pick_node (c.a));
         break;
       case RESUME:
-        for (int i = 0; i < world.nodes (); i++)
+        for (int i = 0; i < world.node_count (); i++)
           world.resume (world.node (i));
         break;
       case STOP:
-        world.stop (world.node (c.a % world.schedulers ()));
+        world.stop (world.node (c.a % world.scheduler_count ()));
         break;
       case CUT_ZONES:
       case RECONNECT_ZONES:
-        world.cut_zones (c.a % world.shape.zones, c.b % world.shape.zones,
+        world.cut_zones (c.a % world.cluster.zones, c.b % world.cluster.zones,
                          c.kind == CUT_ZONES);
         break;
       case CUT_STORE:
       case RECONNECT_STORE:
-        world.cut_store (c.a % world.shape.zones, c.kind == CUT_STORE);
+        world.cut_store (c.a % world.cluster.zones, c.kind == CUT_STORE);
         break;
       case SILENCE_LINK:
         world.make_link_silent ((uint64_t)c.a);
         break;
       case STORE_DOWN:
       case STORE_UP:
-        world.store_down (c.kind == STORE_DOWN);
+        world.set_store_down (c.kind == STORE_DOWN);
         break;
       default:
-        inject_call_fault_or_change_setting (c);
+        change_environment (c);
         break;
       }
   }
 
   void
-  inject_call_fault_or_change_setting (const Command &c)
+  change_environment (const Command &c)
   {
     switch (c.kind)
       {
@@ -298,14 +298,14 @@
         world.set_fault_rates (0, 0, 0);
         break;
       case SET_LIMIT:
-        world.set_limit (c.a % world.shape.teams, 4 + c.b % 40);
+        world.set_limit (c.a % world.cluster.teams, 4 + c.b % 40);
         break;
       case WITHDRAW_KEY:
-        world.withdraw_key (c.a % world.shape.teams);
+        world.withdraw_key (c.a % world.cluster.teams);
         break;
       case ZONE_OUT:
       case ZONE_IN:
-        world.set_zone_state (c.a % world.shape.zones, c.kind == ZONE_OUT,
+        world.set_zone_state (c.a % world.cluster.zones, c.kind == ZONE_OUT,
                               c.b % 2 == 0);
         break;
       case INSTANCE_LEAVING:
@@ -329,9 +329,9 @@
   check_liveness ()
   {
     world.heal_all ();
-    for (int z = 0; z < world.shape.zones; z++)
+    for (int z = 0; z < world.cluster.zones; z++)
       world.set_zone_state (z, false, false);
-    for (int t = 0; t < world.shape.teams; t++)
+    for (int t = 0; t < world.cluster.teams; t++)
       world.set_limit (t, FINAL_UPPER_LIMIT);
     world.advance (30000);
     /* Services never end and would keep the places of due work. */
@@ -364,28 +364,28 @@
   void
   check_requests (bool keyed)
   {
-    int before = world.answered;
+    int before = world.answered_count;
     int sent = 0;
 
-    for (int t = 0; t < world.shape.teams; t++)
-      for (int z = 0; z < world.shape.zones; z++, sent++)
-        world.request (z, t, false, keyed, 20, 3000);
+    for (int t = 0; t < world.cluster.teams; t++)
+      for (int z = 0; z < world.cluster.zones; z++, sent++)
+        world.send_request (z, t, false, keyed, 20, 3000);
     world.advance (8000);
-    if (world.answered - before != sent)
-      world.oracle.record_violation ("liveness",
-                                     std::to_string (world.answered - before)
-                                         + " of " + std::to_string (sent)
-                                         + " requests were answered",
-                                     world.now);
+    if (world.answered_count - before != sent)
+      world.oracle.record_violation (
+          "liveness",
+          std::to_string (world.answered_count - before) + " of "
+              + std::to_string (sent) + " requests were answered",
+          world.now);
   }
 };
 
 static void
-print_account (const World &world)
+print_totals (const World &world)
 {
-  std::cout << "account: " << world.answered << " answered, " << world.not_run
-            << " not run, " << world.unknown << " unknown, "
-            << world.oracle.runs () << " runs, "
+  std::cout << "account: " << world.answered_count << " answered, "
+            << world.not_run_count << " not run, " << world.unknown_count
+            << " unknown, " << world.oracle.run_count () << " runs, "
             << world.oracle.started_task_count () << " tasks started, "
             << world.store_writes << " store writes, " << world.store_reads
             << " store reads, " << world.messages << " messages, "
@@ -395,13 +395,13 @@
 /* Runs a script in a world of its own. */
 static std::vector<Violation>
 run_script (const std::vector<Command> &commands, uint64_t seed, bool trace,
-            bool account = false)
+            bool with_totals = false)
 {
   ScriptRun run (seed, ClusterConfig ());
 
   run.execute (commands, trace);
-  if (account)
-    print_account (run.world);
+  if (with_totals)
+    print_totals (run.world);
   return run.world.oracle.violations;
 }
 
@@ -452,16 +452,16 @@
 {
   auto generator = rc::gen::container<std::vector<Command> > (
       (std::size_t)steps, make_command_generator ());
-  auto made = generator (rc::Random (seed), 100);
+  auto generated = generator (rc::Random (seed), 100);
   std::vector<Violation> violations
-      = run_script (made.value (), seed, trace, true);
+      = run_script (generated.value (), seed, trace, true);
 
   if (!violations.empty ())
     {
       print_violations (violations);
       if (shrinking)
         {
-          auto script = shrink (made, seed, violations[0].property);
+          auto script = shrink (generated, seed, violations[0].property);
 
           std::cout << "shrunk script of " << script.size () << " commands:\n";
           for (const auto &command : script)
@@ -497,7 +497,7 @@
   bool trace = false;
   bool shrinking = true;
   struct rst_log_config log = { false, "error" };
-  int bad = 0;
+  int failed_seeds = 0;
 
   for (int i = 1; i < argc; i++)
     {
@@ -536,8 +536,8 @@
   rst_log_init ("fuzz", &log);
   for (int i = 0; i < seeds; i++)
     if (fuzz::fuzz_seed (seed + (uint64_t)i, steps, trace, shrinking) > 0)
-      bad++;
+      failed_seeds++;
   if (seeds > 1)
-    std::cout << seeds - bad << " of " << seeds << " seeds held\n";
-  return bad == 0 ? 0 : 1;
+    std::cout << seeds - failed_seeds << " of " << seeds << " seeds held\n";
+  return failed_seeds == 0 ? 0 : 1;
 }
--- a/test/fuzz/oracle.cc
+++ b/test/fuzz/oracle.cc
@@ -45,11 +45,11 @@
 void
 Oracle::record_limit (const std::string &team, int64_t limit, ms now)
 {
-  int64_t before = std::max (max_running (team, now), limit);
+  int64_t previous = std::max (max_running (team, now), limit);
   Limit &entry = limits_[team];
 
-  entry.before = before;
-  entry.present = limit;
+  entry.previous = previous;
+  entry.current = limit;
   entry.changed_at = now;
 }
 
@@ -78,26 +78,26 @@
 }
 
 void
-Oracle::leaving (const std::string &instance, ms now)
+Oracle::record_instance_leaving (const std::string &instance, ms now)
 {
   instances_[instance].leaving_since = now;
 }
 
 void
-Oracle::back (const std::string &instance)
+Oracle::record_instance_back (const std::string &instance)
 {
   instances_[instance].leaving_since = -1;
 }
 
 void
-Oracle::sent (int request, const Request &what)
+Oracle::record_request (int number, const Request &request)
 {
-  requests_[request] = what;
+  requests_[number] = request;
 }
 
 void
-Oracle::answered (int request, const std::string &outcome,
-                  const std::string &body, ms now)
+Oracle::record_answer (int request, const std::string &outcome,
+                       const std::string &body, ms now)
 {
   Request &entry = requests_[request];
 
@@ -127,8 +127,8 @@
   if (found == limits_.end ())
     return 0;
   return has_taken_effect (found->second.changed_at, now)
-             ? found->second.present
-             : found->second.before;
+             ? found->second.current
+             : found->second.previous;
 }
 
 void
@@ -168,7 +168,7 @@
 {
   Request &entry = requests_[request];
 
-  runs_++;
+  run_count_++;
   entry.runs++;
   instances_[name].used.slots++;
   running_per_team_[team]++;
@@ -208,7 +208,7 @@
 {
   Capacity &used = instances_[name].used;
 
-  started_tasks_++;
+  started_task_count_++;
   used.cpu += needs.cpu;
   used.memory += needs.memory;
   used.accelerators += needs.accelerators;
@@ -240,14 +240,14 @@
 
 void
 Oracle::record_setting_in_force (const std::string &process,
-                                 const std::string &branch, uint64_t revision,
+                                 const std::string &key, uint64_t revision,
                                  ms now)
 {
-  uint64_t &held = revisions_in_force_[process][branch];
+  uint64_t &in_force = revisions_in_force_[process][key];
 
-  if (revision < held)
-    record_violation ("settings-never-revert", process + " " + branch, now);
-  held = revision;
+  if (revision < in_force)
+    record_violation ("settings-never-revert", process + " " + key, now);
+  in_force = revision;
 }
 
 void
@@ -258,9 +258,10 @@
 }
 
 void
-Oracle::stored (const std::string &branch, uint64_t revision, ms now)
+Oracle::record_stored_setting (const std::string &key, uint64_t revision,
+                               ms now)
 {
-  stored_revisions_[branch] = { revision, now };
+  stored_revisions_[key] = { revision, now };
 }
 
 void
@@ -297,7 +298,7 @@
 }
 
 int
-Oracle::running (const std::string &team) const
+Oracle::count_running (const std::string &team) const
 {
   auto found = running_per_team_.find (team);
 
--- a/test/fuzz/oracle.h
+++ b/test/fuzz/oracle.h
@@ -85,18 +85,18 @@
   void record_key_withdrawal (const std::string &key, ms now);
   void record_zone_out (const std::string &zone, ms now);
   void record_zone_in (const std::string &zone);
-  void leaving (const std::string &instance, ms now);
-  void back (const std::string &instance);
+  void record_instance_leaving (const std::string &instance, ms now);
+  void record_instance_back (const std::string &instance);
 
   /* What callers saw. */
-  void sent (int request, const Request &what);
+  void record_request (int number, const Request &request);
   void
   record_repeat (int request)
   {
     requests_[request].sends++;
   }
-  void answered (int request, const std::string &outcome,
-                 const std::string &body, ms now);
+  void record_answer (int request, const std::string &outcome,
+                      const std::string &body, ms now);
 
   /* What instances saw. */
   void record_run_start (const std::string &instance, int request,
@@ -111,10 +111,11 @@
 
   /* What processes hold. */
   void record_setting_in_force (const std::string &process,
-                                const std::string &branch, uint64_t revision,
+                                const std::string &key, uint64_t revision,
                                 ms now);
   void record_process_end (const std::string &process);
-  void stored (const std::string &branch, uint64_t revision, ms now);
+  void record_stored_setting (const std::string &key, uint64_t revision,
+                              ms now);
   void check_settings_in_force (const std::string &process, ms now);
   void record_stop_request (const std::string &process, ms now);
   void record_stop_end (const std::string &process, ms now);
@@ -122,16 +123,16 @@
 
   void record_violation (const std::string &property,
                          const std::string &detail, ms now);
-  int running (const std::string &team) const;
+  int count_running (const std::string &team) const;
   int64_t
   started_task_count () const
   {
-    return started_tasks_;
+    return started_task_count_;
   }
   int64_t
-  runs () const
+  run_count () const
   {
-    return runs_;
+    return run_count_;
   }
 
 private:
@@ -144,8 +145,8 @@
   };
   struct Limit
   {
-    int64_t present = 0;
-    int64_t before = 0;
+    int64_t current = 0;
+    int64_t previous = 0;
     ms changed_at = 0;
   };
 
@@ -163,8 +164,8 @@
   std::map<std::string, ms> stops_requested_at_;
   int active_fault_count_ = 0;
   ms last_fault_change_ = 0;
-  int64_t started_tasks_ = 0;
-  int64_t runs_ = 0;
+  int64_t started_task_count_ = 0;
+  int64_t run_count_ = 0;
 
   bool has_taken_effect (ms since, ms now) const;
   void check_start_is_allowed (const std::string &instance,
--- a/test/fuzz/world.cc
+++ b/test/fuzz/world.cc
@@ -45,12 +45,10 @@
   return static_cast<Node *> (userdata);
 }
 
-/* ---- The table of outside systems
- * ------------------------------------------- */
+/* The table of outside systems */
 
 void
-platform_store_get (void *u, const char *key, rst_platform_done done,
-                    void *data)
+fake_store_get (void *u, const char *key, rst_platform_done done, void *data)
 {
   World *w = get_node (u)->world;
   std::string k = key;
@@ -65,8 +63,8 @@
 }
 
 void
-platform_store_list (void *u, const char *prefix, rst_platform_done done,
-                     void *data)
+fake_store_list (void *u, const char *prefix, rst_platform_done done,
+                 void *data)
 {
   World *w = get_node (u)->world;
   std::string p = prefix;
@@ -81,9 +79,8 @@
 }
 
 void
-platform_store_put (void *u, const char *key, const char *value,
-                    int64_t expected, uint64_t lease, rst_platform_done done,
-                    void *data)
+fake_store_put (void *u, const char *key, const char *value, int64_t expected,
+                uint64_t lease, rst_platform_done done, void *data)
 {
   World *w = get_node (u)->world;
   std::string k = key;
@@ -99,8 +96,8 @@
 }
 
 void
-platform_store_delete (void *u, const char *key, int64_t expected,
-                       rst_platform_done done, void *data)
+fake_store_delete (void *u, const char *key, int64_t expected,
+                   rst_platform_done done, void *data)
 {
   World *w = get_node (u)->world;
   std::string k = key;
@@ -115,8 +112,8 @@
 }
 
 void
-platform_store_watch (void *u, const char *prefix, uint64_t after, rst_ms wait,
-                      rst_platform_done done, void *data)
+fake_store_watch (void *u, const char *prefix, uint64_t after, rst_ms wait,
+                  rst_platform_done done, void *data)
 {
   World *w = get_node (u)->world;
   std::string p = prefix;
@@ -124,21 +121,22 @@
   w->store_reads++;
   w->call (
       get_node (u), "", true, STORE_TIMEOUT_MS + wait,
-      [=] (std::function<void (Reply)> later, bool *deferred) {
+      [=] (std::function<void (Reply)> send_reply, bool *replies_later) {
         Reply reply = w->store_changes_after (p, after);
 
         if (!reply.kvs.empty ())
           return reply;
-        *deferred = true;
-        w->store_watches.push_back ({ p, after, later });
-        w->at (wait, [=] { later (w->store_changes_after (p, after)); });
+        *replies_later = true;
+        w->store_watches.push_back ({ p, after, send_reply });
+        w->schedule (wait,
+                     [=] { send_reply (w->store_changes_after (p, after)); });
         return reply;
       },
       done, data);
 }
 
 void
-platform_lease_grant (void *u, rst_ms ttl, rst_platform_done done, void *data)
+fake_lease_grant (void *u, rst_ms ttl, rst_platform_done done, void *data)
 {
   World *w = get_node (u)->world;
 
@@ -156,8 +154,7 @@
 }
 
 void
-platform_lease_renew (void *u, uint64_t lease, rst_platform_done done,
-                      void *data)
+fake_lease_renew (void *u, uint64_t lease, rst_platform_done done, void *data)
 {
   World *w = get_node (u)->world;
 
@@ -179,8 +176,7 @@
 }
 
 void
-platform_lease_revoke (void *u, uint64_t lease, rst_platform_done done,
-                       void *data)
+fake_lease_revoke (void *u, uint64_t lease, rst_platform_done done, void *data)
 {
   World *w = get_node (u)->world;
 
@@ -198,14 +194,14 @@
 }
 
 void
-platform_list_instances (void *u, uint64_t after, rst_platform_done done,
-                         void *data)
+fake_instance_list_fetch (void *u, uint64_t after, rst_platform_done done,
+                          void *data)
 {
   World *w = get_node (u)->world;
   uint64_t listed = w->instance_list_revision;
   std::vector<struct rst_instance_info> infos;
 
-  for (int i = 0; i < w->instances (); i++)
+  for (int i = 0; i < w->instance_count (); i++)
     infos.push_back (w->instance (i).info);
   w->call (
       get_node (u), "", true, STORE_TIMEOUT_MS,
@@ -257,9 +253,9 @@
 }
 
 void
-platform_run_query (void *u, const char *address,
-                    const struct rst_query_request *run,
-                    rst_platform_done done, void *data)
+fake_query_run (void *u, const char *address,
+                const struct rst_query_request *run, rst_platform_done done,
+                void *data)
 {
   Node *node = get_node (u);
   World *w = node->world;
@@ -272,10 +268,10 @@
 
   w->call (
       node, instance->info.zone, false, deadline,
-      [=] (std::function<void (Reply)> later, bool *deferred) {
+      [=] (std::function<void (Reply)> send_reply, bool *replies_later) {
         static uint64_t number = 0;
         int request = parse_request_number (body);
-        ms time = std::min (parse_run_ms (body), deadline);
+        ms run_ms = std::min (parse_run_ms (body), deadline);
         uint64_t slot = ++number;
 
         if (epoch < instance->epoch)
@@ -283,17 +279,17 @@
         instance->epoch = epoch;
         if (instance->failing)
           return make_rejected_reply ();
-        instance->runs[slot] = { request, id, team };
+        instance->query_runs[slot] = { request, id, team };
         w->oracle.record_run_start (instance->info.name, request, team,
                                     w->now);
-        *deferred = true;
-        w->at (time, [=] {
+        *replies_later = true;
+        w->schedule (run_ms, [=] {
           Reply reply;
 
-          instance->runs.erase (slot);
+          instance->query_runs.erase (slot);
           w->oracle.record_run_end (instance->info.name, team);
           reply.body = "{\"n\":" + std::to_string (request) + "}";
-          later (reply);
+          send_reply (reply);
         });
         return Reply ();
       },
@@ -303,22 +299,22 @@
 void
 append_runs (FakeInstance *instance, Reply *reply)
 {
-  for (const auto &run : instance->runs)
+  for (const auto &run : instance->query_runs)
     {
-      struct rst_run_info work = {};
+      struct rst_run_info info = {};
 
-      g_strlcpy (work.id, run.second.id.c_str (), sizeof work.id);
-      g_strlcpy (work.team, run.second.team.c_str (), sizeof work.team);
-      work.result = RST_TASK_RUNNING;
-      reply->work.push_back (work);
+      g_strlcpy (info.id, run.second.id.c_str (), sizeof info.id);
+      g_strlcpy (info.team, run.second.team.c_str (), sizeof info.team);
+      info.result = RST_TASK_RUNNING;
+      reply->runs.push_back (info);
     }
   for (const auto &task : instance->tasks)
-    reply->work.push_back (task.second.work);
+    reply->runs.push_back (task.second.info);
 }
 
 void
-platform_inspect (void *u, const char *address, uint64_t epoch,
-                  rst_platform_done done, void *data)
+fake_instance_inspect (void *u, const char *address, uint64_t epoch,
+                       rst_platform_done done, void *data)
 {
   Node *node = get_node (u);
   FakeInstance *instance = node->world->find_instance (address);
@@ -338,31 +334,31 @@
 }
 
 Capacity
-get_task_needs (const struct rst_run_info &work)
+get_task_needs (const struct rst_run_info &info)
 {
   Capacity needs;
 
-  needs.cpu = work.cpu;
-  needs.memory = work.memory_mb;
-  needs.accelerators = work.accelerators;
+  needs.cpu = info.cpu;
+  needs.memory = info.memory_mb;
+  needs.accelerators = info.accelerators;
   return needs;
 }
 
 std::string
-format_task_name (const struct rst_run_info &work)
+format_task_name (const struct rst_run_info &info)
 {
-  return std::string (work.job) + "." + std::to_string (work.index);
+  return std::string (info.job) + "." + std::to_string (info.index);
 }
 
 void
-platform_start_task (void *u, const char *address, uint64_t epoch,
-                     const struct rst_run_info *task, rst_ms lease,
-                     rst_ms not_after, rst_platform_done done, void *data)
+fake_task_start (void *u, const char *address, uint64_t epoch,
+                 const struct rst_run_info *task, rst_ms lease,
+                 rst_ms not_after, rst_platform_done done, void *data)
 {
   Node *node = get_node (u);
   World *w = node->world;
   FakeInstance *instance = w->find_instance (address);
-  struct rst_run_info work = *task;
+  struct rst_run_info info = *task;
 
   if (w->node_time (node) >= not_after)
     {
@@ -381,36 +377,35 @@
       node, instance->info.zone, false, INSTANCE_TIMEOUT_MS,
       [=] (std::function<void (Reply)>, bool *) {
         FakeTask fake;
-        Reply refusal;
+        Reply rejection;
 
         if (epoch < instance->epoch)
           return make_fenced_reply ();
         instance->epoch = epoch;
-        refusal.result = RST_PLATFORM_REFUSED;
-        if (instance->tombstones.count (work.id) > 0)
-          return refusal;
-        if (instance->tasks.count (work.id) > 0)
+        rejection.result = RST_PLATFORM_REFUSED;
+        if (instance->tombstones.count (info.id) > 0)
+          return rejection;
+        if (instance->tasks.count (info.id) > 0)
           return Reply ();
-        fake.work = work;
-        fake.work.result = RST_TASK_RUNNING;
-        fake.run_once = strstr (work.job, "once") != nullptr;
-        fake.ends_at = work.run_ms > 0 ? w->now + work.run_ms : INT64_MAX;
+        fake.info = info;
+        fake.info.result = RST_TASK_RUNNING;
+        fake.run_once = strstr (info.job, "once") != nullptr;
+        fake.ends_at = info.run_ms > 0 ? w->now + info.run_ms : INT64_MAX;
         if (instance->failing)
           fake.ends_at = w->now + 5;
         fake.lease_expires_at = w->now + lease;
-        instance->tasks[work.id] = fake;
+        instance->tasks[info.id] = fake;
         w->oracle.record_task_start (
-            instance->info.name, work.team, format_task_name (work),
-            get_task_needs (work), fake.run_once, w->now);
+            instance->info.name, info.team, format_task_name (info),
+            get_task_needs (info), fake.run_once, w->now);
         return Reply ();
       },
       done, data);
 }
 
 void
-platform_renew_tasks (void *u, const char *address, uint64_t epoch,
-                      rst_ms lease, const char *const *seen,
-                      rst_platform_done done, void *data)
+fake_task_renew (void *u, const char *address, uint64_t epoch, rst_ms lease,
+                 const char *const *seen, rst_platform_done done, void *data)
 {
   Node *node = get_node (u);
   World *w = node->world;
@@ -439,9 +434,8 @@
 }
 
 void
-platform_stop_task (void *u, const char *address, uint64_t epoch,
-                    const char *id, bool checkpoint, rst_platform_done done,
-                    void *data)
+fake_task_stop (void *u, const char *address, uint64_t epoch, const char *id,
+                bool checkpoint, rst_platform_done done, void *data)
 {
   Node *node = get_node (u);
   World *w = node->world;
@@ -466,18 +460,18 @@
         if (found->second.running)
           w->end_task (*instance, found->second,
                        checkpoint ? RST_TASK_MOVED : RST_TASK_STOPPED);
-        reply.work.push_back (found->second.work);
+        reply.runs.push_back (found->second.info);
         return reply;
       },
       done, data);
 }
 
 const struct rst_platform platform
-    = { platform_store_get,    platform_store_list,   platform_store_put,
-        platform_store_delete, platform_store_watch,  platform_lease_grant,
-        platform_lease_renew,  platform_lease_revoke, platform_list_instances,
-        platform_run_query,    platform_inspect,      platform_start_task,
-        platform_renew_tasks,  platform_stop_task };
+    = { fake_store_get,    fake_store_list,       fake_store_put,
+        fake_store_delete, fake_store_watch,      fake_lease_grant,
+        fake_lease_renew,  fake_lease_revoke,     fake_instance_list_fetch,
+        fake_query_run,    fake_instance_inspect, fake_task_start,
+        fake_task_renew,   fake_task_stop };
 
 uint64_t
 link_connect (void *u, const char *address)
@@ -504,33 +498,32 @@
 {
   RequestHandle *h = static_cast<RequestHandle *> (handle);
 
-  h->world->answer (h->request, reply);
+  h->world->handle_reply (h->request, reply);
   delete h;
 }
 
 }
 
-/* ---- Events
- * -------------------------------------------------------------------- */
+/* Events */
 
 void
-World::at (ms delay, std::function<void ()> what)
+World::schedule (ms delay, std::function<void ()> action)
 {
-  events_.push ({ now + delay, ++last_event_sequence_, std::move (what) });
+  events_.push ({ now + delay, ++last_event_sequence_, std::move (action) });
 }
 
 void
-World::advance (ms time)
+World::advance (ms duration)
 {
-  ms until = now + time;
+  ms until = now + duration;
 
-  while (!events_.empty () && events_.top ().at <= until)
+  while (!events_.empty () && events_.top ().due_at <= until)
     {
       Event event = events_.top ();
 
       events_.pop ();
-      now = event.at;
-      event.what ();
+      now = event.due_at;
+      event.action ();
     }
   now = until;
 }
@@ -542,7 +535,7 @@
 }
 
 bool
-World::random_permille (int permille)
+World::random_chance (int permille)
 {
   return random_below (1000) < permille;
 }
@@ -571,17 +564,16 @@
   return zone.empty () ? -1 : atoi (zone.c_str () + 1) - 1;
 }
 
-/* ---- Processes
- * -------------------------------------------------------------------- */
+/* Processes */
 
 /* Adds the processor's time of a call into a state machine, the fakes that
    it calls included. */
 void
-World::run_timed (const std::function<void ()> &what)
+World::run_timed (const std::function<void ()> &action)
 {
   auto before = std::chrono::steady_clock::now ();
 
-  what ();
+  action ();
   state_machine_ns += std::chrono::duration_cast<std::chrono::nanoseconds> (
                           std::chrono::steady_clock::now () - before)
                           .count ();
@@ -589,14 +581,14 @@
 
 /* Runs something on a process, later if it is paused, never if it is gone. */
 void
-World::deliver (Node *node, int life, std::function<void ()> what)
+World::run_on_node (Node *node, int incarnation, std::function<void ()> action)
 {
-  if (node->life != life || !node->is_alive ())
+  if (node->incarnation != incarnation || !node->is_alive ())
     return;
   if (node->paused)
-    node->deferred.push_back (std::move (what));
+    node->deferred_actions.push_back (std::move (action));
   else
-    run_timed (what);
+    run_timed (action);
 }
 
 void
@@ -625,7 +617,7 @@
 void
 World::tick_node (Node *node)
 {
-  int life = node->life;
+  int incarnation = node->incarnation;
 
   if (!node->is_alive ())
     return;
@@ -643,12 +635,12 @@
           oracle.record_stop_end (node->name, now);
           node->stopping = false;
           crash (node);
-          at (500, [this, node] { restart (node); });
+          schedule (500, [this, node] { restart (node); });
           return;
         }
     }
-  at (shape.tick, [this, node, life] {
-    if (node->life == life)
+  schedule (cluster.tick_ms, [this, node, incarnation] {
+    if (node->incarnation == incarnation)
       tick_node (node);
   });
 }
@@ -656,8 +648,8 @@
 void
 World::start_node (Node *node)
 {
-  fault ("down " + node->name, false);
-  node->life++;
+  set_fault_active ("down " + node->name, false);
+  node->incarnation++;
   node->started_at = now - 1000 * random_below (50);
   node->clock_rate = 0.99 + 0.02 * (double)random_below (100) / 100;
   node->paused = false;
@@ -673,7 +665,7 @@
       config.max_pending = 10000;
       node->entry
           = rst_entry_create (&config, &links, node, handle_entry_reply);
-      for (int i = 0; i < schedulers (); i++)
+      for (int i = 0; i < scheduler_count (); i++)
         if (nodes_[i]->zone == node->zone)
           rst_entry_add_seed_address (node->entry,
                                       nodes_[i]->address.c_str ());
@@ -692,7 +684,7 @@
       config.seed = random ();
       node->scheduler
           = rst_scheduler_create (&config, &platform, node, &links, node);
-      for (int i = 0; i < schedulers (); i++)
+      for (int i = 0; i < scheduler_count (); i++)
         if (nodes_[i].get () != node && nodes_[i]->zone == node->zone)
           rst_scheduler_add_seed_address (node->scheduler,
                                           nodes_[i]->address.c_str ());
@@ -708,22 +700,22 @@
   node->stopping = false;
   if (node->paused)
     resume (node);
-  fault ("down " + node->name, true);
-  node->is_being_destroyed = true;
+  set_fault_active ("down " + node->name, true);
+  node->crashing = true;
   for (auto &link : links_)
     for (int side = 0; side < 2; side++)
-      if (link.second->side[side] == node && link.second->open)
+      if (link.second->node[side] == node && link.second->open)
         close_link (link.second, 1 + random_below (3));
-  node->life++;
+  node->incarnation++;
   while (!node->pending_calls.empty ())
     {
       auto first = node->pending_calls.begin ();
-      auto end = first->second;
+      auto end_call = first->second;
       Reply reply;
 
       reply.result = RST_PLATFORM_UNKNOWN;
       node->pending_calls.erase (first);
-      end (reply);
+      end_call (reply);
     }
   if (node->is_entry)
     rst_entry_destroy (node->entry);
@@ -731,8 +723,8 @@
     rst_scheduler_destroy (node->scheduler);
   node->entry = nullptr;
   node->scheduler = nullptr;
-  node->deferred.clear ();
-  node->is_being_destroyed = false;
+  node->deferred_actions.clear ();
+  node->crashing = false;
   oracle.record_process_end (node->name);
 }
 
@@ -750,21 +742,21 @@
     return;
   node->paused = true;
   oracle.record_stop_end (node->name, now);
-  fault ("pause " + node->name, true);
+  set_fault_active ("pause " + node->name, true);
 }
 
 void
 World::resume (Node *node)
 {
-  std::vector<std::function<void ()> > deferred;
+  std::vector<std::function<void ()> > actions;
 
   if (!node->paused)
     return;
   node->paused = false;
-  fault ("pause " + node->name, false);
-  deferred.swap (node->deferred);
-  for (auto &what : deferred)
-    what ();
+  set_fault_active ("pause " + node->name, false);
+  actions.swap (node->deferred_actions);
+  for (auto &action : actions)
+    action ();
   /* A stop's time runs while the process does. */
   if (node->stopping && node->is_alive ())
     oracle.record_stop_request (node->name, now);
@@ -780,9 +772,7 @@
   rst_scheduler_begin_stop (node->scheduler);
 }
 
-/* ---- Links
- * -----------------------------------------------------------------------------
- */
+/* Links */
 
 bool
 World::are_zones_cut (const std::string &a, const std::string &b) const
@@ -799,24 +789,24 @@
   auto link = std::make_shared<Link> ();
   Node *to = nullptr;
 
-  if (from->is_being_destroyed)
+  if (from->crashing)
     return 0;
   for (auto &node : nodes_)
     if (node->address == address && node->is_alive ())
       to = node.get ();
-  link->side[0] = from;
-  link->side[1] = to;
-  link->life[0] = from->life;
-  link->life[1] = to != nullptr ? to->life : 0;
+  link->node[0] = from;
+  link->node[1] = to;
+  link->incarnation[0] = from->incarnation;
+  link->incarnation[1] = to != nullptr ? to->incarnation : 0;
   link->id[0] = ++next_link_;
   link->id[1] = ++next_link_;
   if (to == nullptr || are_zones_cut (from->zone, to->zone))
     {
       uint64_t id = link->id[0];
-      int life = from->life;
+      int incarnation = from->incarnation;
 
-      at (to == nullptr ? 2 : 1000, [=] {
-        deliver (from, life, [=] {
+      schedule (to == nullptr ? 2 : 1000, [=] {
+        run_on_node (from, incarnation, [=] {
           if (from->is_entry)
             rst_entry_handle_link_closed (from->entry, id);
           else
@@ -827,14 +817,14 @@
     }
   links_[link->id[0]] = link;
   links_[link->id[1]] = link;
-  at (1 + random_below (3), [this, link] {
+  schedule (1 + random_below (3), [this, link] {
     link->open = true;
     for (int side = 1; side >= 0; side--)
       {
-        Node *node = link->side[side];
+        Node *node = link->node[side];
         uint64_t id = link->id[side];
 
-        deliver (node, link->life[side], [node, id] {
+        run_on_node (node, link->incarnation[side], [node, id] {
           if (node->is_entry)
             rst_entry_handle_link_opened (node->entry, id);
           else
@@ -843,7 +833,7 @@
       }
     /* The peer was replaced meanwhile. */
     for (int side = 0; side < 2; side++)
-      if (link->side[side]->life != link->life[side])
+      if (link->node[side]->incarnation != link->incarnation[side])
         close_link (link, 1);
   });
   return link->id[0];
@@ -855,15 +845,15 @@
   if (link->closing)
     return;
   link->closing = true;
-  at (delay, [this, link] {
+  schedule (delay, [this, link] {
     link->open = false;
     for (int side = 0; side < 2; side++)
       {
-        Node *node = link->side[side];
+        Node *node = link->node[side];
         uint64_t id = link->id[side];
 
         links_.erase (id);
-        deliver (node, link->life[side], [node, id] {
+        run_on_node (node, link->incarnation[side], [node, id] {
           if (node->is_entry)
             rst_entry_handle_link_closed (node->entry, id);
           else
@@ -899,7 +889,7 @@
   int to;
   int copies = 1;
 
-  if (found == links_.end () || from->is_being_destroyed)
+  if (found == links_.end () || from->crashing)
     return false;
   link = found->second;
   messages++;
@@ -912,15 +902,15 @@
       rst_blob_free (&frame);
     }
   to = link->id[0] == id ? 1 : 0;
-  if (link->silent || are_zones_cut (link->side[0]->zone, link->side[1]->zone))
+  if (link->silent || are_zones_cut (link->node[0]->zone, link->node[1]->zone))
     {
       close_link (link, SILENT_LINK_TIMEOUT_MS);
       return true;
     }
-  if (link->side[to]->paused)
+  if (link->node[to]->paused)
     close_link (link, SILENT_LINK_TIMEOUT_MS);
   if (may_be_duplicated (message->type)
-      && random_permille (weather.duplicate_permille))
+      && random_chance (call_faults.duplicate_permille))
     copies = 2;
   for (int i = 0; i < copies; i++)
     {
@@ -938,13 +928,13 @@
           due = std::max (due, link->last_delivery[to]);
           link->last_delivery[to] = due;
         }
-      at (due - now, [this, link, to, copy] {
-        Node *node = link->side[to];
+      schedule (due - now, [this, link, to, copy] {
+        Node *node = link->node[to];
         uint64_t here = link->id[to];
 
         if (!link->open)
           return;
-        deliver (node, link->life[to], [node, here, copy] {
+        run_on_node (node, link->incarnation[to], [node, here, copy] {
           if (node->is_entry)
             rst_entry_handle_message (node->entry, here, copy.get ());
           else
@@ -955,8 +945,7 @@
   return true;
 }
 
-/* ---- Calls to outside systems
- * ------------------------------------------------------------- */
+/* Calls to outside systems */
 
 static void
 complete_platform_call (rst_platform_done done, void *data, const Reply &reply,
@@ -981,102 +970,101 @@
   out.kv_count = (int)kvs.size ();
   out.instances = copy.instances.data ();
   out.instance_count = (int)copy.instances.size ();
-  out.runs = copy.work.data ();
-  out.run_count = (int)copy.work.size ();
+  out.runs = copy.runs.data ();
+  out.run_count = (int)copy.runs.size ();
   out.body = copy.body.c_str ();
   out.length = copy.body.size ();
   done (&out, data);
 }
 
 void
-World::call (Node *from, const std::string &zone, bool store, ms timeout,
-             std::function<Reply (std::function<void (Reply)>, bool *)> effect,
-             rst_platform_done done, void *data)
+World::call (
+    Node *from, const std::string &zone, bool store, ms timeout,
+    std::function<Reply (std::function<void (Reply)>, bool *)> execute,
+    rst_platform_done done, void *data)
 {
   uint64_t number = next_call_++;
-  int life = from->life;
+  int incarnation = from->incarnation;
   ms sent_at = node_time (from);
   bool cut = store ? zones_cut_from_store_.count (zone_index (from->zone)) > 0
                          || from->cut_from_store
                    : are_zones_cut (from->zone, zone);
-  bool slow = random_permille (weather.slow_call_permille);
-  ms there = 1 + random_below (3);
-  ms back = 1 + random_below (3);
-  bool lost = random_permille (weather.lose_reply_permille);
+  bool slow = random_chance (call_faults.slow_call_permille);
+  ms request_delay = 1 + random_below (3);
+  ms reply_delay = 1 + random_below (3);
+  bool reply_is_lost = random_chance (call_faults.lose_reply_permille);
 
   if (slow)
-    there += random_below (
+    request_delay += random_below (
         (int)(store ? MAX_STORE_DELAY_MS : MAX_INSTANCE_DELAY_MS));
-  bool unsent = from->is_being_destroyed;
+  bool sender_is_crashing = from->crashing;
 
   from->pending_calls[number] = [=] (const Reply &reply) {
-    Reply said = reply;
+    Reply result = reply;
 
-    if (unsent)
-      said.result = RST_PLATFORM_NOT_SENT;
-    complete_platform_call (done, data, said, sent_at);
+    if (sender_is_crashing)
+      result.result = RST_PLATFORM_NOT_SENT;
+    complete_platform_call (done, data, result, sent_at);
   };
-  auto finish = [=] (Reply reply) {
-    deliver (from, life, [=] {
+  auto complete = [=] (Reply reply) {
+    run_on_node (from, incarnation, [=] {
       auto found = from->pending_calls.find (number);
 
       if (found == from->pending_calls.end ())
         return;
-      auto end = found->second;
+      auto end_call = found->second;
 
       from->pending_calls.erase (found);
-      end (reply);
+      end_call (reply);
     });
   };
   Reply failed;
 
   failed.status = 0;
-  failed.result = from->is_being_destroyed       ? RST_PLATFORM_NOT_SENT
-                  : cut && random_permille (500) ? RST_PLATFORM_NOT_SENT
-                                                 : RST_PLATFORM_UNKNOWN;
-  if (from->is_being_destroyed)
+  failed.result = from->crashing               ? RST_PLATFORM_NOT_SENT
+                  : cut && random_chance (500) ? RST_PLATFORM_NOT_SENT
+                                               : RST_PLATFORM_UNKNOWN;
+  if (from->crashing)
     {
       /* The process ends; nothing leaves it any more. */
       return;
     }
   if (cut)
     {
-      at (timeout > 2000 ? 2000 : timeout, [=] { finish (failed); });
+      schedule (timeout > 2000 ? 2000 : timeout, [=] { complete (failed); });
       return;
     }
-  at (timeout, [=] {
+  schedule (timeout, [=] {
     Reply unknown;
 
     unknown.result = RST_PLATFORM_UNKNOWN;
     unknown.status = 0;
-    finish (unknown);
+    complete (unknown);
   });
-  at (there, [=] {
-    bool deferred = false;
-    auto answer = [=] (Reply reply) {
-      if (!lost)
-        at (back, [=] { finish (reply); });
+  schedule (request_delay, [=] {
+    bool replies_later = false;
+    auto send_reply = [=] (Reply reply) {
+      if (!reply_is_lost)
+        schedule (reply_delay, [=] { complete (reply); });
     };
 
-    if (store && weather.store_down)
+    if (store && call_faults.store_is_down)
       return;
-    Reply reply = effect (answer, &deferred);
+    Reply reply = execute (send_reply, &replies_later);
 
-    if (!deferred)
-      answer (reply);
+    if (!replies_later)
+      send_reply (reply);
   });
 }
 
-/* ---- Store
- * -----------------------------------------------------------------------------------
- */
+/* Store */
 
 Reply
 World::store_changes_after (const std::string &prefix, uint64_t after)
 {
   Reply reply;
 
-  reply.revision = revision;
+  reply.revision = store_revision;
   for (size_t i = store_changes.size (); i > 0; i--)
     {
       const Change &change = store_changes[i - 1];
@@ -1111,15 +1099,15 @@
     else
       i++;
   for (auto &watch : due)
-    watch.reply (store_changes_after (watch.prefix, watch.after));
+    watch.send_reply (store_changes_after (watch.prefix, watch.after));
 }
 
 Reply
 World::store_put (const std::string &key, const std::string &value,
                   int64_t expected, uint64_t lease)
 {
-  auto found = values.find (key);
-  uint64_t present = found != values.end () ? found->second.revision : 0;
+  auto found = store_values.find (key);
+  uint64_t current = found != store_values.end () ? found->second.revision : 0;
   Reply reply;
 
   if (lease != 0 && store_leases.count (lease) == 0)
@@ -1127,15 +1115,15 @@
       reply.result = RST_PLATFORM_NOT_FOUND;
       return reply;
     }
-  if (expected >= 0 && (uint64_t)expected != present)
+  if (expected >= 0 && (uint64_t)expected != current)
     {
       reply.result = RST_PLATFORM_CONFLICT;
-      reply.revision = present;
+      reply.revision = current;
       return reply;
     }
-  values[key] = { value, ++revision, lease };
-  store_changes.push_back ({ key, value, revision, false });
-  reply.revision = revision;
+  store_values[key] = { value, ++store_revision, lease };
+  store_changes.push_back ({ key, value, store_revision, false });
+  reply.revision = store_revision;
   notify_watches (key);
   return reply;
 }
@@ -1143,18 +1131,18 @@
 Reply
 World::store_delete (const std::string &key, int64_t expected)
 {
-  auto found = values.find (key);
+  auto found = store_values.find (key);
   Reply reply;
 
-  if (found == values.end ())
+  if (found == store_values.end ())
     reply.result = RST_PLATFORM_NOT_FOUND;
   else if (expected >= 0 && (uint64_t)expected != found->second.revision)
     reply.result = RST_PLATFORM_CONFLICT;
   else
     {
-      values.erase (found);
-      store_changes.push_back ({ key, "", ++revision, true });
-      reply.revision = revision;
+      store_values.erase (found);
+      store_changes.push_back ({ key, "", ++store_revision, true });
+      reply.revision = store_revision;
       notify_watches (key);
     }
   return reply;
@@ -1163,10 +1151,10 @@
 Reply
 World::store_get (const std::string &key)
 {
-  auto found = values.find (key);
+  auto found = store_values.find (key);
   Reply reply;
 
-  if (found == values.end ())
+  if (found == store_values.end ())
     {
       reply.result = RST_PLATFORM_NOT_FOUND;
       return reply;
@@ -1182,8 +1170,8 @@
 {
   Reply reply;
 
-  reply.revision = revision;
-  for (const auto &value : values)
+  reply.revision = store_revision;
+  for (const auto &value : store_values)
     if (value.first.compare (0, prefix.size (), prefix) == 0)
       {
         reply.kvs.push_back ({ value.first, value.second.value });
@@ -1193,18 +1181,16 @@
   return reply;
 }
 
-/* ---- Instances
- * ----------------------------------------------------------------------------------
- */
+/* Instances */
 
 void
 World::end_task (FakeInstance &instance, FakeTask &task, int64_t result)
 {
   task.running = false;
-  task.work.result = result;
+  task.info.result = result;
   oracle.record_task_end (
-      instance.info.name, task.work.team, format_task_name (task.work),
-      get_task_needs (task.work), result == RST_TASK_MOVED);
+      instance.info.name, task.info.team, format_task_name (task.info),
+      get_task_needs (task.info), result == RST_TASK_MOVED);
 }
 
 /* Leases of processes and tasks lapse; tasks end. */
@@ -1223,13 +1209,13 @@
       lease = store_leases.erase (lease);
       std::vector<std::string> keys;
 
-      for (const auto &value : values)
+      for (const auto &value : store_values)
         if (value.second.lease == id)
           keys.push_back (value.first);
       for (const auto &key : keys)
         store_delete (key, -1);
     }
-  for (auto *instance : instances_by_index_)
+  for (auto *instance : instances_)
     for (auto task = instance->tasks.begin (); task != instance->tasks.end ();)
       {
         FakeTask &fake = task->second;
@@ -1245,7 +1231,7 @@
                     instance->failing ? RST_TASK_FAILED : RST_TASK_DONE);
         ++task;
       }
-  at (10, [this] { expire_leases_and_tasks (); });
+  schedule (10, [this] { expire_leases_and_tasks (); });
 }
 
 FakeInstance *
@@ -1254,12 +1240,10 @@
   return instances_by_address_[address].get ();
 }
 
-/* ---- Faults
- * ----------------------------------------------------------------------------------------
- */
+/* Faults */
 
 void
-World::fault (const std::string &name, bool active)
+World::set_fault_active (const std::string &name, bool active)
 {
   if (active && active_faults_.insert (name).second)
     oracle.begin_fault (now);
@@ -1278,8 +1262,9 @@
     zone_pairs_cut_.insert (pair);
   else
     zone_pairs_cut_.erase (pair);
-  fault ("cut " + std::to_string (pair.first) + std::to_string (pair.second),
-         cut);
+  set_fault_active ("cut " + std::to_string (pair.first)
+                        + std::to_string (pair.second),
+                    cut);
 }
 
 void
@@ -1289,7 +1274,7 @@
     zones_cut_from_store_.insert (zone);
   else
     zones_cut_from_store_.erase (zone);
-  fault ("store-cut " + std::to_string (zone), cut);
+  set_fault_active ("store-cut " + std::to_string (zone), cut);
 }
 
 void
@@ -1301,38 +1286,40 @@
 
   std::advance (found, (long)(which % links_.size ()));
   found->second->silent = true;
-  fault ("silent", true);
-  at (SILENT_LINK_TIMEOUT_MS + 100, [this] { fault ("silent", false); });
+  set_fault_active ("silent", true);
+  schedule (SILENT_LINK_TIMEOUT_MS + 100,
+            [this] { set_fault_active ("silent", false); });
 }
 
 void
-World::store_down (bool down)
+World::set_store_down (bool down)
 {
-  weather.store_down = down;
-  fault ("store-down", down);
+  call_faults.store_is_down = down;
+  set_fault_active ("store-down", down);
 }
 
 void
 World::set_fault_rates (int lose_reply_permille, int slow_call_permille,
                         int duplicate_permille)
 {
-  weather.lose_reply_permille = lose_reply_permille;
-  weather.slow_call_permille = slow_call_permille;
-  weather.duplicate_permille = duplicate_permille;
-  fault ("weather",
-         lose_reply_permille + slow_call_permille + duplicate_permille > 0);
+  call_faults.lose_reply_permille = lose_reply_permille;
+  call_faults.slow_call_permille = slow_call_permille;
+  call_faults.duplicate_permille = duplicate_permille;
+  set_fault_active (
+      "weather",
+      lose_reply_permille + slow_call_permille + duplicate_permille > 0);
 }
 
 void
 World::heal_faults ()
 {
-  for (int a = 0; a < shape.zones; a++)
+  for (int a = 0; a < cluster.zones; a++)
     {
       cut_store (a, false);
-      for (int b = a + 1; b < shape.zones; b++)
+      for (int b = a + 1; b < cluster.zones; b++)
         cut_zones (a, b, false);
     }
-  store_down (false);
+  set_store_down (false);
   set_fault_rates (0, 0, 0);
   for (auto &node : nodes_)
     {
@@ -1345,7 +1332,7 @@
 World::heal_all ()
 {
   heal_faults ();
-  for (int i = 0; i < instances (); i++)
+  for (int i = 0; i < instance_count (); i++)
     {
       set_instance_failing (i, false);
       set_instance_leaving (i, false);
@@ -1356,8 +1343,7 @@
 void
 World::reboot_instance (int index)
 {
-  FakeInstance *instance
-      = instances_by_index_[index % (int)instances_by_index_.size ()];
+  FakeInstance *instance = instances_[index % (int)instances_.size ()];
 
   for (auto &task : instance->tasks)
     if (task.second.running)
@@ -1365,19 +1351,17 @@
   instance->tasks.clear ();
 }
 
-/* ---- Operators
- * ----------------------------------------------------------------------------------------
- */
+/* Operators */
 
 bool
 World::put_setting (const std::string &key, const std::string &value)
 {
   Reply reply;
 
-  if (weather.store_down)
+  if (call_faults.store_is_down)
     return false;
   reply = store_put (key, value, -1, 0);
-  oracle.stored (key, reply.revision, now);
+  oracle.record_stored_setting (key, reply.revision, now);
   return true;
 }
 
@@ -1425,7 +1409,7 @@
 void
 World::withdraw_key (int team)
 {
-  if (weather.store_down)
+  if (call_faults.store_is_down)
     return;
   key_versions_[team]++;
   write_team_settings (team, team_limits_[team]);
@@ -1436,7 +1420,7 @@
 {
   std::string value = "{";
 
-  if (weather.store_down)
+  if (call_faults.store_is_down)
     return;
   zone_states_[zone_name (zone)] = { out, move };
   for (const auto &state : zone_states_)
@@ -1455,37 +1439,34 @@
 void
 World::set_instance_leaving (int index, bool leaving)
 {
-  FakeInstance *instance
-      = instances_by_index_[index % (int)instances_by_index_.size ()];
+  FakeInstance *instance = instances_[index % (int)instances_.size ()];
 
   if (leaving)
-    oracle.leaving (instance->info.name, now);
-  at (leaving ? 300 : 0, [this, instance, leaving] {
+    oracle.record_instance_leaving (instance->info.name, now);
+  schedule (leaving ? 300 : 0, [this, instance, leaving] {
     if (instance->info.leaving == leaving)
       return;
     instance->info.leaving = leaving;
     instance_list_revision++;
   });
   if (!leaving)
-    oracle.back (instance->info.name);
+    oracle.record_instance_back (instance->info.name);
 }
 
 void
 World::set_instance_failing (int index, bool failing)
 {
-  instances_by_index_[index % (int)instances_by_index_.size ()]->failing
-      = failing;
+  instances_[index % (int)instances_.size ()]->failing = failing;
 }
 
-/* ---- Callers
- * ---------------------------------------------------------------------------------------------
- */
+/* Callers */
 
 void
-World::send_request (int number)
+World::pass_to_entry (int number)
 {
   const CallerRequest &caller = caller_requests_[number];
-  Node *node = nodes_[schedulers () + caller.entry % shape.zones].get ();
+  Node *node
+      = nodes_[scheduler_count () + caller.entry % cluster.zones].get ();
   std::string authorization = "Bearer " + caller.key;
   std::string deadline = std::to_string (caller.deadline);
   struct rst_entry_request request = {};
@@ -1498,18 +1479,18 @@
   request.deadline_ms = deadline.c_str ();
   request.body = caller.body.c_str ();
   request.length = caller.body.size ();
-  pending_++;
+  pending_requests_++;
   rst_entry_handle_request (node->entry, new RequestHandle{ this, number },
                             &request);
 }
 
 int
-World::request (int entry, int team, bool idempotent, bool keyed, ms run_ms,
-                ms deadline)
+World::send_request (int entry, int team, bool idempotent, bool keyed,
+                     ms run_ms, ms deadline)
 {
-  int number = next_request_++;
+  int number = next_request_number_++;
   CallerRequest &caller = caller_requests_[number];
-  Request what;
+  Request sent;
 
   caller.entry = entry;
   caller.team = team;
@@ -1519,29 +1500,29 @@
   caller.deadline = deadline;
   caller.body = "{\"n\":" + std::to_string (number)
                 + ",\"ms\":" + std::to_string (run_ms) + "}";
-  what.team = team_name (team);
-  what.key = caller.key;
-  what.idempotent = idempotent;
-  what.sent_at = now;
-  oracle.sent (number, what);
-  send_request (number);
+  sent.team = team_name (team);
+  sent.key = caller.key;
+  sent.idempotent = idempotent;
+  sent.sent_at = now;
+  oracle.record_request (number, sent);
+  pass_to_entry (number);
   return number;
 }
 
 void
 World::send_request_with_withdrawn_key (int entry, int team)
 {
-  std::string present = team_keys_[team];
+  std::string current_key = team_keys_[team];
 
   if (withdrawn_keys_.count (team) == 0)
     return;
   team_keys_[team] = withdrawn_keys_[team];
-  request (entry, team, false, false, 10, 2000);
-  team_keys_[team] = present;
+  send_request (entry, team, false, false, 10, 2000);
+  team_keys_[team] = current_key;
 }
 
 void
-World::answer (int number, const struct rst_entry_reply *reply)
+World::handle_reply (int number, const struct rst_entry_reply *reply)
 {
   std::string body (reply->body, reply->length);
   std::string outcome = reply->status == 200 ? "answered"
@@ -1549,15 +1530,15 @@
                             ? "not-run"
                             : "unknown";
 
-  pending_--;
+  pending_requests_--;
   if (outcome == "answered")
-    answered++;
+    answered_count++;
   else if (outcome == "not-run")
-    not_run++;
+    not_run_count++;
   else
-    unknown++;
+    unknown_count++;
   if (number > 0)
-    oracle.answered (number, outcome, body, now);
+    oracle.record_answer (number, outcome, body, now);
 }
 
 /* The same request again, perhaps through another entry. */
@@ -1570,16 +1551,16 @@
     return;
   found->second.entry = entry;
   oracle.record_repeat (request);
-  send_request (request);
+  pass_to_entry (request);
 }
 
 int
-World::submit (int entry, int team, int policy, int tasks, int64_t cpu,
-               ms run_ms, bool run_once)
+World::submit_job (int entry, int team, int policy, int tasks, int64_t cpu,
+                   ms run_ms, bool run_once)
 {
   static const char *const policies[] = { "batch", "service", "gang" };
-  Node *node = nodes_[schedulers () + entry % shape.zones].get ();
-  int number = next_request_++;
+  Node *node = nodes_[scheduler_count () + entry % cluster.zones].get ();
+  int number = next_request_number_++;
   std::string id = (run_once ? "once" : "job") + std::to_string (number);
   std::string authorization = "Bearer " + team_keys_[team];
   struct rst_entry_request request = {};
@@ -1601,7 +1582,7 @@
   request.operation = RST_JOB_SUBMIT;
   request.body = body.c_str ();
   request.length = body.size ();
-  pending_++;
+  pending_requests_++;
   rst_entry_handle_request (node->entry, new RequestHandle{ this, -number },
                             &request);
   return number;
@@ -1630,7 +1611,7 @@
 void
 World::cancel_job_by_name (int entry, const std::string &name)
 {
-  Node *node = nodes_[schedulers () + entry % shape.zones].get ();
+  Node *node = nodes_[scheduler_count () + entry % cluster.zones].get ();
   struct rst_entry_request request = {};
   std::string authorization;
   std::string id = name.substr (name.find ('/') + 1);
@@ -1643,7 +1624,7 @@
   request.operation = RST_JOB_CANCEL;
   request.job = id.c_str ();
   request.body = "";
-  pending_++;
+  pending_requests_++;
   rst_entry_handle_request (node->entry, new RequestHandle{ this, -1 },
                             &request);
 }
@@ -1653,7 +1634,7 @@
 {
   int count = 0;
 
-  for (const auto &value : values)
+  for (const auto &value : store_values)
     if (value.first.compare (0, 5, "jobs/") == 0
         && value.second.value.find ("\"policy\":1") == std::string::npos)
       {
@@ -1667,19 +1648,18 @@
   return count;
 }
 
-/* ---- Construction
- * -------------------------------------------------------------------------------------------
- */
+/* Construction */
 
-World::World (const ClusterConfig &wanted, uint64_t seed)
-    : shape (wanted), random (seed)
+World::World (const ClusterConfig &config, uint64_t seed)
+    : cluster (config), random (seed)
 {
-  for (int z = 0; z < shape.zones; z++)
-    for (int i = 0; i < shape.runners + shape.workers; i++)
+  for (int z = 0; z < cluster.zones; z++)
+    for (int i = 0; i < cluster.runners_per_zone + cluster.workers_per_zone;
+         i++)
       {
         auto instance = std::make_unique<FakeInstance> ();
         struct rst_instance_info &info = instance->info;
-        bool runner = i < shape.runners;
+        bool runner = i < cluster.runners_per_zone;
         std::string name
             = zone_name (z) + (runner ? "-r" : "-w") + std::to_string (i);
         Capacity capacity;
@@ -1689,19 +1669,21 @@
         g_strlcpy (info.zone, zone_name (z).c_str (), RST_NAME_SIZE);
         g_strlcpy (info.address, ("i-" + name).c_str (), RST_ADDRESS_SIZE);
         info.kind = runner ? RST_RUNNER : RST_WORKER;
-        capacity.slots = info.slots = runner ? shape.slots : 0;
-        capacity.cpu = info.cpu = runner ? 0 : shape.cpu;
-        capacity.memory = info.memory_mb = runner ? 0 : shape.memory;
+        capacity.slots = info.slots = runner ? cluster.slots_per_runner : 0;
+        capacity.cpu = info.cpu = runner ? 0 : cluster.cpu_milli_per_worker;
+        capacity.memory = info.memory_mb
+            = runner ? 0 : cluster.memory_mb_per_worker;
         oracle.add_instance (name, info.zone, capacity);
-        instances_by_index_.push_back (instance.get ());
+        instances_.push_back (instance.get ());
         instances_by_address_["i-" + name] = std::move (instance);
       }
-  for (int i = 0; i < shape.zones * shape.schedulers + shape.zones; i++)
+  for (int i = 0;
+       i < cluster.zones * cluster.schedulers_per_zone + cluster.zones; i++)
     {
       auto node = std::make_unique<Node> ();
-      bool entry = i >= shape.zones * shape.schedulers;
-      int zone
-          = entry ? i - shape.zones * shape.schedulers : i / shape.schedulers;
+      bool entry = i >= cluster.zones * cluster.schedulers_per_zone;
+      int zone = entry ? i - cluster.zones * cluster.schedulers_per_zone
+                       : i / cluster.schedulers_per_zone;
 
       node->world = this;
       node->is_entry = entry;
@@ -1711,17 +1693,17 @@
           = "10.0." + std::to_string (zone) + "." + std::to_string (i) + ":1";
       nodes_.push_back (std::move (node));
     }
-  for (int z = 0; z < shape.zones; z++)
+  for (int z = 0; z < cluster.zones; z++)
     set_zone_state (z, false, false);
-  for (int t = 0; t < shape.teams; t++)
-    write_team_settings (t, shape.upper_limit);
+  for (int t = 0; t < cluster.teams; t++)
+    write_team_settings (t, cluster.upper_limit);
   oracle.begin_fault (now);
   oracle.end_fault (now);
   for (auto &node : nodes_)
     start_node (node.get ());
   expire_leases_and_tasks ();
-  std::function<void ()> *watch = new std::function<void ()>;
-  *watch = [this, watch] {
+  std::function<void ()> *check = new std::function<void ()>;
+  *check = [this, check] {
     oracle.check_stops (now);
     for (auto &node : nodes_)
       if (node->is_alive () && !node->paused)
@@ -1729,17 +1711,17 @@
           report_settings (node.get ());
           oracle.check_settings_in_force (node->name, now);
         }
-    at (500, *watch);
+    schedule (500, *check);
   };
-  at (500, *watch);
-  watch_ = watch;
+  schedule (500, *check);
+  periodic_check_ = check;
 }
 
 World::~World ()
 {
   for (auto &node : nodes_)
     crash (node.get ());
-  delete static_cast<std::function<void ()> *> (watch_);
+  delete static_cast<std::function<void ()> *> (periodic_check_);
 }
 
 }
--- a/test/fuzz/world.h
+++ b/test/fuzz/world.h
@@ -34,24 +34,24 @@
 struct ClusterConfig
 {
   int zones = 3;
-  int schedulers = 3;
-  int runners = 4;
-  int workers = 6;
+  int schedulers_per_zone = 3;
+  int runners_per_zone = 4;
+  int workers_per_zone = 6;
   int teams = 6;
-  int64_t slots = 4;
-  int64_t cpu = 8000;
-  int64_t memory = 16384;
+  int64_t slots_per_runner = 4;
+  int64_t cpu_milli_per_worker = 8000;
+  int64_t memory_mb_per_worker = 16384;
   int64_t upper_limit = 24;
-  ms tick = 20;
+  ms tick_ms = 20;
 };
 
 /* Likelihoods in a thousand, and delays. */
-struct FaultRates
+struct CallFaults
 {
   int lose_reply_permille = 0;
   int slow_call_permille = 0;
   int duplicate_permille = 0;
-  bool store_down = false;
+  bool store_is_down = false;
 };
 
 class World;
@@ -66,7 +66,7 @@
   std::vector<uint64_t> revisions;
   std::vector<bool> deleted;
   std::vector<struct rst_instance_info> instances;
-  std::vector<struct rst_run_info> work;
+  std::vector<struct rst_run_info> runs;
   std::string body;
 };
 
@@ -80,15 +80,15 @@
   bool is_entry = false;
   struct rst_scheduler *scheduler = nullptr;
   struct rst_entry *entry = nullptr;
-  int life = 0;
+  int incarnation = 0;
   bool paused = false;
-  bool is_being_destroyed = false;
+  bool crashing = false;
   bool stopping = false;
   bool cut_from_store = false;
   double clock_rate = 1.0;
   ms started_at = 0;
   uint64_t calls = 0;
-  std::vector<std::function<void ()> > deferred;
+  std::vector<std::function<void ()> > deferred_actions;
   std::map<uint64_t, std::function<void (const Reply &)> > pending_calls;
 
   bool
@@ -100,8 +100,8 @@
 
 struct Link
 {
-  Node *side[2];
-  int life[2];
+  Node *node[2];
+  int incarnation[2];
   uint64_t id[2];
   bool open = false;
   bool silent = false;
@@ -111,14 +111,14 @@
 
 struct FakeTask
 {
-  struct rst_run_info work;
+  struct rst_run_info info;
   bool running = true;
   bool run_once = false;
   ms ends_at = 0;
   ms lease_expires_at = 0;
 };
 
-struct FakeRun
+struct FakeQueryRun
 {
   int request;
   std::string id;
@@ -131,7 +131,7 @@
   uint64_t epoch = 0;
   bool failing = false;
   bool silent = false;
-  std::map<uint64_t, FakeRun> runs;
+  std::map<uint64_t, FakeQueryRun> query_runs;
   std::map<std::string, FakeTask> tasks;
   std::set<std::string> tombstones;
 };
@@ -139,17 +139,17 @@
 class World
 {
 public:
-  World (const ClusterConfig &shape, uint64_t seed);
+  World (const ClusterConfig &cluster, uint64_t seed);
   ~World ();
 
   Oracle oracle;
-  FaultRates weather;
-  ClusterConfig shape;
+  CallFaults call_faults;
+  ClusterConfig cluster;
   ms now = 1000000;
   std::mt19937_64 random;
 
-  void advance (ms time);
-  void at (ms delay, std::function<void ()> what);
+  void advance (ms duration);
+  void schedule (ms delay, std::function<void ()> action);
 
   /* Processes. */
   Node *
@@ -158,14 +158,14 @@
     return nodes_[index].get ();
   }
   int
-  nodes () const
+  node_count () const
   {
     return (int)nodes_.size ();
   }
   int
-  schedulers () const
+  scheduler_count () const
   {
-    return shape.zones * shape.schedulers;
+    return cluster.zones * cluster.schedulers_per_zone;
   }
   void crash (Node *node);
   void restart (Node *node);
@@ -177,7 +177,7 @@
   void cut_zones (int a, int b, bool cut);
   void cut_store (int zone, bool cut);
   void make_link_silent (uint64_t which);
-  void store_down (bool down);
+  void set_store_down (bool down);
   void set_fault_rates (int lose_reply_permille, int slow_call_permille,
                         int duplicate_permille);
   void reboot_instance (int instance);
@@ -191,36 +191,36 @@
   void set_zone_state (int zone, bool out, bool move);
   void set_instance_leaving (int instance, bool leaving);
   void set_instance_failing (int instance, bool failing);
-  int request (int entry, int team, bool idempotent, bool keyed, ms run_ms,
-               ms deadline);
+  int send_request (int entry, int team, bool idempotent, bool keyed,
+                    ms run_ms, ms deadline);
   void repeat_request (int entry, int request);
   void send_request_with_withdrawn_key (int entry, int team);
-  int submit (int entry, int team, int policy, int tasks, int64_t cpu,
-              ms run_ms, bool run_once);
+  int submit_job (int entry, int team, int policy, int tasks, int64_t cpu,
+                  ms run_ms, bool run_once);
   void cancel_job_by_index (int entry, int job);
   void cancel_all_services ();
 
   std::string zone_name (int zone) const;
   std::string team_name (int team) const;
   int
-  instances () const
+  instance_count () const
   {
     return (int)instances_by_address_.size ();
   }
   FakeInstance &
   instance (int index)
   {
-    return *instances_by_index_[index];
+    return *instances_[index];
   }
   int
-  last_request () const
+  last_request_number () const
   {
-    return next_request_ - 1;
+    return next_request_number_ - 1;
   }
   int
   pending_request_count () const
   {
-    return pending_;
+    return pending_requests_;
   }
   int count_unfinished_jobs () const;
   int64_t store_reads = 0;
@@ -229,12 +229,13 @@
   int64_t message_bytes = 0;
   bool count_bytes = false;
   int64_t state_machine_ns = 0;
-  int answered = 0, not_run = 0, unknown = 0;
+  int answered_count = 0, not_run_count = 0, unknown_count = 0;
 
   /* Used by the fakes. */
-  void call (Node *from, const std::string &zone, bool store, ms timeout,
-             std::function<Reply (std::function<void (Reply)>, bool *)> effect,
-             rst_platform_done done, void *data);
+  void
+  call (Node *from, const std::string &zone, bool store, ms timeout,
+        std::function<Reply (std::function<void (Reply)>, bool *)> execute,
+        rst_platform_done done, void *data);
   FakeInstance *find_instance (const std::string &address);
   Reply store_put (const std::string &key, const std::string &value,
                    int64_t expected, uint64_t lease);
@@ -244,17 +245,17 @@
   uint64_t connect (Node *from, const std::string &address);
   bool send (Node *from, uint64_t link, const struct rst_message *message);
   void close (Node *from, uint64_t link);
-  void answer (int request, const struct rst_entry_reply *reply);
+  void handle_reply (int request, const struct rst_entry_reply *reply);
   ms node_time (const Node *node) const;
   void end_task (FakeInstance &instance, FakeTask &task, int64_t result);
   int random_below (int bound);
-  bool random_permille (int permille);
+  bool random_chance (int permille);
 
   struct Watch
   {
     std::string prefix;
     uint64_t after;
-    std::function<void (Reply)> reply;
+    std::function<void (Reply)> send_reply;
   };
   struct Value
   {
@@ -274,11 +275,11 @@
     ms ttl;
     ms expires_at;
   };
-  std::map<std::string, Value> values;
+  std::map<std::string, Value> store_values;
   std::vector<Change> store_changes;
   std::map<uint64_t, Lease> store_leases;
   std::vector<Watch> store_watches;
-  uint64_t revision = 1;
+  uint64_t store_revision = 1;
   uint64_t next_lease_id = 1;
   uint64_t instance_list_revision = 1;
   Reply store_changes_after (const std::string &prefix, uint64_t after);
@@ -286,13 +287,14 @@
 private:
   struct Event
   {
-    ms at;
+    ms due_at;
     uint64_t sequence;
-    std::function<void ()> what;
+    std::function<void ()> action;
     bool
     operator<(const Event &other) const
     {
-      return at != other.at ? at > other.at : sequence > other.sequence;
+      return due_at != other.due_at ? due_at > other.due_at
+                                    : sequence > other.sequence;
     }
   };
   struct CallerRequest
@@ -310,11 +312,11 @@
   uint64_t last_event_sequence_ = 0;
   uint64_t next_link_ = 10;
   uint64_t next_call_ = 1;
-  int next_request_ = 1;
-  int pending_ = 0;
+  int next_request_number_ = 1;
+  int pending_requests_ = 0;
   std::vector<std::unique_ptr<Node> > nodes_;
   std::map<std::string, std::unique_ptr<FakeInstance> > instances_by_address_;
-  std::vector<FakeInstance *> instances_by_index_;
+  std::vector<FakeInstance *> instances_;
   std::map<uint64_t, std::shared_ptr<Link> > links_;
   std::set<std::pair<int, int> > zone_pairs_cut_;
   std::set<int> zones_cut_from_store_;
@@ -328,21 +330,22 @@
   std::set<std::string> active_faults_;
 
   void start_node (Node *node);
-  void deliver (Node *node, int life, std::function<void ()> what);
+  void run_on_node (Node *node, int incarnation,
+                    std::function<void ()> action);
   void tick_node (Node *node);
-  void run_timed (const std::function<void ()> &what);
+  void run_timed (const std::function<void ()> &action);
   void report_settings (Node *node);
   bool are_zones_cut (const std::string &a, const std::string &b) const;
   void close_link (std::shared_ptr<Link> link, ms delay);
   void notify_watches (const std::string &key);
   void expire_leases_and_tasks ();
   void write_team_settings (int team, int64_t limit);
-  void send_request (int request);
+  void pass_to_entry (int request);
   void cancel_job_by_name (int entry, const std::string &name);
-  void fault (const std::string &name, bool active);
+  void set_fault_active (const std::string &name, bool active);
   int zone_index (const std::string &zone) const;
   std::map<int, int64_t> team_limits_;
-  void *watch_ = nullptr;
+  void *periodic_check_ = nullptr;
 };
 
 }
