--- a/test/bench/measure.cc
+++ b/test/bench/measure.cc
@@ -1,9 +1,10 @@
 /**
- * DOC: measure - slopes behind docs/CAPACITY.md
+ * DOC: measure - cost of a scheduler or entry by size of the cluster
  *
- * Runs the state machines on the fake clock at growing sizes and prints what
- * one process spends a second: processor time (the fakes' part included),
- * messages, bytes and store calls.
+ * Runs the state machines in the simulated world of the fuzzer and prints, for
+ * growing values of one parameter at a time, the processor time (including the
+ * fakes), messages and bytes of one process a second, and the store calls of
+ * the whole cluster.  docs/CAPACITY.md is based on these figures.
  */
 #include <chrono>
 #include <cstdio>
@@ -23,6 +24,7 @@
 namespace
 {
 
+/* Time for tenures, limits and tasks to settle before a measurement. */
 constexpr ms SETTLE_MS = 25000;
 constexpr ms MEASURE_MS = 20000;
 
@@ -36,12 +38,12 @@
 void
 print_header ()
 {
-  printf ("%-12s %6s | %9s %9s %9s %9s %9s %8s\n", "slope over", "value",
+  printf ("%-12s %6s | %9s %9s %9s %9s %9s %8s\n", "parameter", "value",
           "cpu %", "msg/s", "KB/s", "reads/s", "writes/s", "rss MB");
 }
 
-/* One point: idle or loaded cell of a shape; figures for one process, store
-   calls for the whole cell. */
+/* Measures a cluster under a load and prints one line: figures are those of
+   one process, except for the store calls of the whole cluster. */
 void
 measure_point (const char *name, int value, const ClusterConfig &cluster,
                const Load &load)
@@ -93,7 +95,8 @@
   return cluster;
 }
 
-/* Time of one placement of a query with a number of owned runners. */
+/* Measures the time of one placement decision for a query, for a scheduler
+   that owns a number of runners. */
 void
 measure_decision (int runners)
 {
@@ -107,7 +110,7 @@
   World world (cluster, 7);
 
   world.advance (SETTLE_MS);
-  /* Parts of the limits grow first. */
+  /* Lets the scheduler's parts of the upper limits grow first. */
   for (int i = 0; i < 600; i++)
     world.send_request (0, i % cluster.teams, false, false, 5, 2000);
   world.advance (5000);
--- a/test/fuzz/fuzz.cc
+++ b/test/fuzz/fuzz.cc
@@ -1,9 +1,11 @@
 /**
  * DOC: fuzz - stateful fuzzing of the schedulers and entries
  *
- * Random commands, made and shrunk by rapidcheck, run on the world; the
- * oracle judges after every step.  At the end all faults heal and all due
- * work must have started.
+ * rapidcheck generates scripts of random commands, which are executed in a
+ * simulated world.  The oracle checks its properties throughout, and a script
+ * ends at the first command with a violation.  After the last command all
+ * faults are healed, and all jobs and requests must end (property
+ * "liveness").  A script with a violation is shrunk.
  */
 #include <chrono>
 #include <cstdio>
@@ -60,16 +62,40 @@
   KIND_COUNT,
 };
 
-const char *const kind_names[KIND_COUNT]
-    = { "advance",      "request",      "repeat",       "submit",
-        "cancel",       "crash",        "restart",      "pause",
-        "resume",       "stop",         "cut-zones",    "join-zones",
-        "cut-store",    "join-store",   "silence-link", "store-down",
-        "store-up",     "lose-answers", "slow-calls",   "duplicates",
-        "fair-weather", "set-limit",    "withdraw-key", "zone-out",
-        "zone-in",      "leaving",      "back",         "failing",
-        "sound",        "reboot",       "calm" };
-
+const char *const kind_names[KIND_COUNT] = { "advance",
+                                             "request",
+                                             "repeat",
+                                             "submit",
+                                             "cancel",
+                                             "crash",
+                                             "restart",
+                                             "pause",
+                                             "resume",
+                                             "stop",
+                                             "cut-zones",
+                                             "reconnect-zones",
+                                             "cut-store",
+                                             "reconnect-store",
+                                             "silence-link",
+                                             "store-down",
+                                             "store-up",
+                                             "lose-replies",
+                                             "slow-calls",
+                                             "duplicate-messages",
+                                             "stop-call-faults",
+                                             "set-limit",
+                                             "withdraw-key",
+                                             "zone-out",
+                                             "zone-in",
+                                             "instance-leaving",
+                                             "instance-back",
+                                             "instance-failing",
+                                             "instance-recovered",
+                                             "reboot-instance",
+                                             "quiet-period" };
+
+/* A command with two arguments from 0 to 9999, which each kind reduces to the
+   ranges that it needs. */
 struct Command
 {
   CommandKind kind;
@@ -111,13 +137,14 @@
                                       rc::gen::inRange (0, 10000));
 }
 
-/* Longest deadline and the time for which an answer is kept. */
+/* Covers the longest deadline and the time for which an answer is kept. */
 constexpr ms REQUEST_ID_RETENTION_MS = 130000;
 
-/* Longer than the oracle's time for changes after faults. */
+/* Longer than the time after a fault in which the oracle doesn't check
+   properties with a time bound. */
 constexpr ms QUIET_PERIOD_MS = 11000;
 
-/* A limit that lets all due work start. */
+/* High enough for all jobs that are left at the end of a script. */
 constexpr int64_t FINAL_UPPER_LIMIT = 400;
 
 class ScriptRun
@@ -130,7 +157,8 @@
 
   World world;
 
-  /* Returns the number of the first violated step, or -1. */
+  /* Returns the index of the first command with a violation, the number of
+     commands if there is one after the last command, or -1. */
   int
   execute (const std::vector<Command> &commands, bool trace)
   {
@@ -214,8 +242,8 @@
       }
   }
 
-  /* Faults heal, changes have their time, then work comes again: rules with
-     a time bound apply to it. */
+  /* Heals all faults, waits until all changes have taken effect and sends
+     requests and jobs, to which properties with a time bound then apply. */
   void
   run_quiet_period (const Command &c)
   {
@@ -324,7 +352,7 @@
       }
   }
 
-  /* After all faults have healed, all due work must start and end. */
+  /* Heals all faults; then all jobs and requests must end. */
   void
   check_liveness ()
   {
@@ -334,7 +362,7 @@
     for (int t = 0; t < world.cluster.teams; t++)
       world.set_limit (t, FINAL_UPPER_LIMIT);
     world.advance (30000);
-    /* Services never end and would keep the places of due work. */
+    /* Services never end and would occupy the capacity for other jobs. */
     for (int i = 0; i < 3; i++)
       {
         world.cancel_all_services ();
@@ -355,8 +383,8 @@
               + " requests have no outcome",
           world.now);
     check_requests (false);
-    /* A request id whose home was lost is answered as unknown until no
-       earlier run can be meant any more. */
+    /* When the process that recorded a request id has lost its records, the
+       outcome is unknown until no earlier run can have that id. */
     world.advance (REQUEST_ID_RETENTION_MS);
     check_requests (true);
   }
@@ -383,7 +411,7 @@
 static void
 print_totals (const World &world)
 {
-  std::cout << "account: " << world.answered_count << " answered, "
+  std::cout << "totals: " << world.answered_count << " answered, "
             << world.not_run_count << " not run, " << world.unknown_count
             << " unknown, " << world.oracle.run_count () << " runs, "
             << world.oracle.started_task_count () << " tasks started, "
@@ -392,7 +420,7 @@
             << world.now / 1000 << " s\n";
 }
 
-/* Runs a script in a world of its own. */
+/* Executes a script in a new world and returns the violations. */
 static std::vector<Violation>
 run_script (const std::vector<Command> &commands, uint64_t seed, bool trace,
             bool with_totals = false)
@@ -407,7 +435,7 @@
 
 constexpr int MAX_SHRINK_ATTEMPTS = 400;
 
-/* The shortest script found that violates the same property. */
+/* Returns the shortest script found that violates the same property first. */
 static std::vector<Command>
 shrink (rc::Shrinkable<std::vector<Command> > failing, uint64_t seed,
         const std::string &property)
@@ -538,6 +566,7 @@
     if (fuzz::fuzz_seed (seed + (uint64_t)i, steps, trace, shrinking) > 0)
       failed_seeds++;
   if (seeds > 1)
-    std::cout << seeds - failed_seeds << " of " << seeds << " seeds held\n";
+    std::cout << seeds - failed_seeds << " of " << seeds
+              << " seeds without violations\n";
   return failed_seeds == 0 ? 0 : 1;
 }
--- a/test/fuzz/oracle.cc
+++ b/test/fuzz/oracle.cc
@@ -34,7 +34,8 @@
   last_fault_change_ = now;
 }
 
-/* Whether a change had its time without any fault in between. */
+/* Returns whether a change must be applied everywhere: it has had its time,
+   and no fault was active recently. */
 bool
 Oracle::has_taken_effect (ms since, ms now) const
 {
@@ -110,13 +111,14 @@
     record_violation ("whole-answer",
                       "request " + std::to_string (request) + " got " + body,
                       now);
-  /* Of a repeated request, one sending may run and another be refused. */
+  /* Of a request that was sent again, one copy may run and another one be
+     rejected. */
   if (outcome == "not-run" && entry.runs > 0 && entry.sends == 1)
     record_violation (
         "not-run-is-true",
-        "request " + std::to_string (request) + " ran and was refused", now);
+        "request " + std::to_string (request) + " ran and was rejected", now);
   if (outcome == "answered" && entry.runs == 0)
-    record_violation ("whole-answer", "answered without a run", now);
+    record_violation ("whole-answer", "request answered without a run", now);
 }
 
 int64_t
@@ -139,10 +141,10 @@
   auto out = zones_out_since_.find (instance.zone);
 
   if (out != zones_out_since_.end () && has_taken_effect (out->second, now))
-    record_violation ("zone-out", "start on " + name, now);
+    record_violation ("zone-out", "run started on " + name, now);
   if (instance.leaving_since >= 0
       && has_taken_effect (instance.leaving_since + MAX_LIST_LAG_MS, now))
-    record_violation ("leaving-endpoint", "start on " + name, now);
+    record_violation ("leaving-endpoint", "run started on " + name, now);
   if (running_per_team_[team] > max_running (team, now))
     record_violation ("upper-limit",
                       team + " has " + std::to_string (running_per_team_[team])
@@ -190,7 +192,7 @@
   if (entry.answers > 0 && entry.outcome == "not-run" && entry.sends == 1)
     record_violation ("not-run-is-true",
                       "request " + std::to_string (request)
-                          + " ran after it was refused",
+                          + " ran after it was rejected",
                       now);
 }
 
@@ -216,7 +218,8 @@
   if (++running_per_task_[task] > 1)
     record_violation ("task-in-two-places", task + " on " + name, now);
   if (run_once && !started_run_once_tasks_.insert (task).second)
-    record_violation ("task-in-two-places", task + " must run once", now);
+    record_violation ("task-in-two-places",
+                      task + " must run once and started again", now);
   check_capacity (name, now);
   check_start_is_allowed (name, team, now);
 }
@@ -233,7 +236,8 @@
   used.accelerators -= needs.accelerators;
   running_per_team_[team]--;
   running_per_task_[task]--;
-  /* The next start goes on from the checkpoint: it is the same run. */
+  /* The next start continues from the checkpoint and counts as the same
+     run. */
   if (checkpointed)
     started_run_once_tasks_.erase (task);
 }
@@ -271,7 +275,8 @@
     if (has_taken_effect (entry.second.second, now)
         && revisions_in_force_[process][entry.first] < entry.second.first)
       record_violation ("settings-never-revert",
-                        process + " lacks " + entry.first + " of revision "
+                        process + " has not applied " + entry.first
+                            + " of revision "
                             + std::to_string (entry.second.first),
                         now);
 }
@@ -294,7 +299,7 @@
 {
   for (const auto &stop : stops_requested_at_)
     if (now - stop.second > MAX_STOP_MS)
-      record_violation ("planned-stop", stop.first + " goes on", now);
+      record_violation ("planned-stop", stop.first + " has not stopped", now);
 }
 
 int
--- a/test/fuzz/oracle.h
+++ b/test/fuzz/oracle.h
@@ -1,8 +1,29 @@
 /**
- * DOC: oracle - judges what the schedulers and entries did
+ * DOC: oracle - checks what the schedulers and entries do
  *
- * Sees every start, end, answer and settings change, and knows only the
- * twelve properties.  It shares no code with the logic that it judges.
+ * The world reports every start and end of a run, every answer and every
+ * change of a setting to the oracle, which checks twelve properties.  A
+ * violation is recorded when
+ *
+ * - overcommit: an instance runs more than its capacity,
+ * - task-in-two-places: a task runs twice at once, or a task that must run
+ *   once starts again without a checkpoint,
+ * - key-decides-team: a request runs for another team than its key's,
+ * - withdrawn-key: a request that was sent with a withdrawn key runs,
+ * - upper-limit: a team has more runs than its upper limit,
+ * - zone-out: a run starts in a zone that is out of service,
+ * - whole-answer: a request gets two answers, another request's answer, or an
+ *   answer without a run,
+ * - not-run-is-true: a request runs although its caller is told that it isn't
+ *   run,
+ * - non-idempotent-once: a request that isn't idempotent runs twice,
+ * - leaving-endpoint: a run starts on an instance that is leaving,
+ * - planned-stop: a planned stop takes longer than MAX_STOP_MS,
+ * - settings-never-revert: a process returns to an older revision of a
+ *   setting, or doesn't apply the newest one in time.
+ *
+ * The oracle shares no code with the logic that it checks.  Times are those of
+ * the world's clock, in milliseconds.
  */
 #ifndef RST_ORACLE_H
 #define RST_ORACLE_H
@@ -18,13 +39,12 @@
 
 using ms = int64_t;
 
-/* How long a change may take to be in force everywhere. */
+/* Time within which all processes must apply a change of a setting. */
 constexpr ms MAX_PROPAGATION_MS = 4000;
 
-/* Lag of the list of instances. */
+/* Time until all schedulers have read a change in the instance list. */
 constexpr ms MAX_LIST_LAG_MS = 1000;
 
-/* Bound on a planned stop. */
 constexpr ms MAX_STOP_MS = 25000;
 
 struct Violation
@@ -42,7 +62,7 @@
   int64_t accelerators = 0;
 };
 
-/* One caller's request, and what became of it. */
+/* A caller's request; runs, sends and answers count what happened to it. */
 struct Request
 {
   std::string team;
@@ -61,11 +81,12 @@
 public:
   std::vector<Violation> violations;
 
-  /* Configuration of the world. */
+  /* Adds an instance; zone and capacity don't change later. */
   void add_instance (const std::string &name, const std::string &zone,
                      const Capacity &capacity);
 
-  /* Faults: while any is active, rules with a time bound do not apply. */
+  /* Begin and end of an injected fault.  Properties with a time bound are not
+     checked while a fault is active and for some time after it. */
   void begin_fault (ms now);
   void end_fault (ms now);
   ms
@@ -79,7 +100,7 @@
     return active_fault_count_ == 0;
   }
 
-  /* What operators did. */
+  /* Changes by operators. */
   void record_limit (const std::string &team, int64_t limit, ms now);
   void record_key (const std::string &team, const std::string &key);
   void record_key_withdrawal (const std::string &key, ms now);
@@ -88,7 +109,7 @@
   void record_instance_leaving (const std::string &instance, ms now);
   void record_instance_back (const std::string &instance);
 
-  /* What callers saw. */
+  /* Requests sent by callers, and the answers that they receive. */
   void record_request (int number, const Request &request);
   void
   record_repeat (int request)
@@ -98,7 +119,7 @@
   void record_answer (int request, const std::string &outcome,
                       const std::string &body, ms now);
 
-  /* What instances saw. */
+  /* Runs of queries and tasks, as their instances see them. */
   void record_run_start (const std::string &instance, int request,
                          const std::string &team, ms now);
   void record_run_end (const std::string &instance, const std::string &team);
@@ -109,7 +130,7 @@
                         const std::string &task, const Capacity &needs,
                         bool checkpointed);
 
-  /* What processes hold. */
+  /* Settings as stored and as applied by each process, and planned stops. */
   void record_setting_in_force (const std::string &process,
                                 const std::string &key, uint64_t revision,
                                 ms now);
@@ -143,6 +164,8 @@
     Capacity used;
     ms leaving_since = -1;
   };
+  /* While a change takes effect, the previous limit is allowed as well if it
+     is higher. */
   struct Limit
   {
     int64_t current = 0;
--- a/test/fuzz/world.cc
+++ b/test/fuzz/world.cc
@@ -24,7 +24,7 @@
 constexpr ms MAX_STORE_DELAY_MS = 4000;
 constexpr ms MAX_INSTANCE_DELAY_MS = 700;
 
-/* Handle of a caller's request at an entry. */
+/* Identifies a request to its entry; the number of a job call is negative. */
 struct RequestHandle
 {
   World *world;
@@ -45,7 +45,7 @@
   return static_cast<Node *> (userdata);
 }
 
-/* The table of outside systems */
+/* External systems, as struct rst_platform calls them */
 
 void
 fake_store_get (void *u, const char *key, rst_platform_done done, void *data)
@@ -235,7 +235,7 @@
   return reply;
 }
 
-/* The number that a request's body carries. */
+/* Returns the request's number from the "n" of its body, or -1. */
 int
 parse_request_number (const std::string &body)
 {
@@ -566,8 +566,7 @@
 
 /* Processes */
 
-/* Adds the processor's time of a call into a state machine, the fakes that
-   it calls included. */
+/* Calls into a state machine and adds the time that the call takes. */
 void
 World::run_timed (const std::function<void ()> &action)
 {
@@ -579,7 +578,8 @@
                           .count ();
 }
 
-/* Runs something on a process, later if it is paused, never if it is gone. */
+/* Runs an action on a process: when it is resumed if it is paused, and not at
+   all if it has ended or was restarted. */
 void
 World::run_on_node (Node *node, int incarnation, std::function<void ()> action)
 {
@@ -757,7 +757,7 @@
   actions.swap (node->deferred_actions);
   for (auto &action : actions)
     action ();
-  /* A stop's time runs while the process does. */
+  /* The time bound of a stop doesn't include a pause. */
   if (node->stopping && node->is_alive ())
     oracle.record_stop_request (node->name, now);
 }
@@ -831,7 +831,7 @@
             rst_scheduler_handle_link_opened (node->scheduler, id);
         });
       }
-    /* The peer was replaced meanwhile. */
+    /* An end has crashed or was restarted while the link was opened. */
     for (int side = 0; side < 2; side++)
       if (link->node[side]->incarnation != link->incarnation[side])
         close_link (link, 1);
@@ -873,8 +873,8 @@
     close_link (found->second, 1);
 }
 
-/* Requests and answers may be doubled or late; what TCP's order protects may
-   not. */
+/* Returns whether a message may arrive again later.  Those about requests,
+   jobs and tasks may; the others rely on the order of their TCP connection. */
 static bool
 may_be_duplicated (uint64_t type)
 {
@@ -945,7 +945,7 @@
   return true;
 }
 
-/* Calls to outside systems */
+/* Calls to external systems */
 
 static void
 complete_platform_call (rst_platform_done done, void *data, const Reply &reply,
@@ -1026,7 +1026,7 @@
                                                : RST_PLATFORM_UNKNOWN;
   if (from->crashing)
     {
-      /* The process ends; nothing leaves it any more. */
+      /* A crashing process sends nothing; crash() completes the call. */
       return;
     }
   if (cut)
@@ -1193,7 +1193,8 @@
       get_task_needs (task.info), result == RST_TASK_MOVED);
 }
 
-/* Leases of processes and tasks lapse; tasks end. */
+/* Ends expired leases of the store, tasks with an expired lease and tasks that
+   have run their time. */
 void
 World::expire_leases_and_tasks ()
 {
@@ -1306,7 +1307,7 @@
   call_faults.slow_call_permille = slow_call_permille;
   call_faults.duplicate_permille = duplicate_permille;
   set_fault_active (
-      "weather",
+      "call-faults",
       lose_reply_permille + slow_call_permille + duplicate_permille > 0);
 }
 
@@ -1339,7 +1340,7 @@
     }
 }
 
-/* The instance starts anew: what it ran has ended without a result. */
+/* Restarts an instance: its tasks are lost without a result. */
 void
 World::reboot_instance (int index)
 {
@@ -1541,7 +1542,7 @@
     oracle.record_answer (number, outcome, body, now);
 }
 
-/* The same request again, perhaps through another entry. */
+/* Sends a keyed request again, possibly through another entry. */
 void
 World::repeat_request (int entry, int request)
 {
--- a/test/fuzz/world.h
+++ b/test/fuzz/world.h
@@ -1,9 +1,10 @@
 /**
- * DOC: world - schedulers and entries on a fake clock with small fakes
+ * DOC: world - simulation of schedulers and entries on a simulated clock
  *
- * Fakes of the store, the list, runners, workers and the links stand at the
- * interfaces of the state machines.  All is driven by one queue of events, so
- * a seed gives the same run every time.
+ * The state machines of src/coordination run unchanged.  The store, the
+ * instance list, runners, workers and links are replaced by fakes that can
+ * lose, delay and duplicate calls and messages.  One queue of events drives
+ * everything on one thread, so that a seed always gives the same run.
  */
 #ifndef RST_WORLD_H
 #define RST_WORLD_H
@@ -31,6 +32,8 @@
 namespace fuzz
 {
 
+/* Size of the cluster, capacity of its instances, each team's upper limit and
+   the interval between two ticks of a process. */
 struct ClusterConfig
 {
   int zones = 3;
@@ -45,7 +48,7 @@
   ms tick_ms = 20;
 };
 
-/* Likelihoods in a thousand, and delays. */
+/* Active faults of calls and messages. */
 struct CallFaults
 {
   int lose_reply_permille = 0;
@@ -56,7 +59,8 @@
 
 class World;
 
-/* What a call to an outside system gives back. */
+/* Reply of an external system.  Revisions and deleted flags belong to the keys
+   in kvs, by index. */
 struct Reply
 {
   int result = RST_PLATFORM_OK;
@@ -70,7 +74,10 @@
   std::string body;
 };
 
-/* One process. */
+/* A scheduler or an entry, whether its process is running or not.  The
+   incarnation is increased by every start and crash; whatever was scheduled
+   for an earlier one is dropped.  Each process has a clock of its own that
+   starts at a random value and is up to 1 % too slow or too fast. */
 struct Node
 {
   World *world = nullptr;
@@ -98,6 +105,9 @@
   }
 };
 
+/* A connection from node[0] to node[1].  The other arrays have the same order;
+   each end has an id of its own.  A silent link drops messages; it is closed
+   after a timeout. */
 struct Link
 {
   Node *node[2];
@@ -109,6 +119,8 @@
   ms last_delivery[2] = { 0, 0 };
 };
 
+/* A task on a worker.  An ended task stays, with its result, until the
+   scheduler confirms that it has seen the end. */
 struct FakeTask
 {
   struct rst_run_info info;
@@ -118,6 +130,7 @@
   ms lease_expires_at = 0;
 };
 
+/* A query that a runner runs. */
 struct FakeQueryRun
 {
   int request;
@@ -125,6 +138,10 @@
   std::string team;
 };
 
+/* A runner or a worker.  The epoch is the highest one that it has seen; calls
+   with a lower one are fenced.  A failing runner rejects queries, and tasks on
+   a failing worker fail.  Tombstones are the ids of tasks that it was told to
+   stop while it didn't have them; their start is rejected. */
 struct FakeInstance
 {
   struct rst_instance_info info;
@@ -148,10 +165,14 @@
   ms now = 1000000;
   std::mt19937_64 random;
 
+  /* Runs all events that are due within a duration. */
   void advance (ms duration);
+  /* Runs an action after a delay. */
   void schedule (ms delay, std::function<void ()> action);
 
-  /* Processes. */
+  /* Processes: all schedulers, zone by zone, then one entry a zone.  A paused
+     process handles nothing until it is resumed.  A planned stop ends a
+     scheduler, which is then restarted. */
   Node *
   node (int index)
   {
@@ -173,7 +194,8 @@
   void resume (Node *node);
   void stop (Node *node);
 
-  /* Faults. */
+  /* Faults.  heal_faults() ends all but failing and leaving instances;
+     heal_all() ends those as well. */
   void cut_zones (int a, int b, bool cut);
   void cut_store (int zone, bool cut);
   void make_link_silent (uint64_t which);
@@ -184,13 +206,18 @@
   void heal_faults ();
   void heal_all ();
 
-  /* Operators and callers. */
+  /* Changes by operators.  Settings can't be changed while the store is down.
+     Instances are set to leaving in the instance list. */
   bool put_setting (const std::string &key, const std::string &value);
   void set_limit (int team, int64_t limit);
   void withdraw_key (int team);
   void set_zone_state (int zone, bool out, bool move);
   void set_instance_leaving (int instance, bool leaving);
   void set_instance_failing (int instance, bool failing);
+
+  /* Requests of callers to a zone's entry; none is sent while the entry is
+     down or paused.  A keyed request has a request id, so that it can be
+     repeated.  Policy 0 is a batch job, 1 a service, 2 a gang. */
   int send_request (int entry, int team, bool idempotent, bool keyed,
                     ms run_ms, ms deadline);
   void repeat_request (int entry, int request);
@@ -222,16 +249,21 @@
   {
     return pending_requests_;
   }
+  /* Counts jobs with tasks that have not ended, leaving out services. */
   int count_unfinished_jobs () const;
   int64_t store_reads = 0;
   int64_t store_writes = 0;
   int64_t messages = 0;
   int64_t message_bytes = 0;
   bool count_bytes = false;
+  /* Time spent in the state machines, including the fakes that they call. */
   int64_t state_machine_ns = 0;
   int answered_count = 0, not_run_count = 0, unknown_count = 0;
 
-  /* Used by the fakes. */
+  /* Interface of the fakes.  call() carries out a call to the store, or to an
+     instance in a zone, with the faults that are active.  Execute runs at the
+     callee; it returns the reply, or sets its flag and passes the reply to its
+     callback later. */
   void
   call (Node *from, const std::string &zone, bool store, ms timeout,
         std::function<Reply (std::function<void (Reply)>, bool *)> execute,
@@ -251,6 +283,8 @@
   int random_below (int bound);
   bool random_chance (int permille);
 
+  /* Contents of the fake store and version of the instance list.  A watch is a
+     long poll for changes of a prefix after a revision. */
   struct Watch
   {
     std::string prefix;
@@ -297,6 +331,7 @@
                                     : sequence > other.sequence;
     }
   };
+  /* A request as its caller keeps it to send it again. */
   struct CallerRequest
   {
     int entry;
@@ -324,6 +359,7 @@
   std::map<int, std::string> team_keys_;
   std::map<int, std::string> withdrawn_keys_;
   std::map<int, int> key_versions_;
+  /* Per zone: whether it is out of service, and whether runs are moved. */
   std::map<std::string, std::pair<bool, bool> > zone_states_;
   std::map<int, std::string> job_names_;
   std::set<std::string> service_names_;
