--- a/test/fuzz/fuzz.cc
+++ b/test/fuzz/fuzz.cc
@@ -1,9 +1,11 @@
 /**
  * DOC: fuzz - stateful fuzzing of the schedulers and entries
  *
- * Random commands, made and shrunk by rapidcheck, run on the world; the
- * oracle judges after every step.  At the end all faults heal and all due
- * work must have started.
+ * rapidcheck generates scripts of random commands, which are executed in a
+ * simulated world.  The oracle checks its properties throughout, and a script
+ * ends at the first command with a violation.  After the last command all
+ * faults are healed, and all jobs and requests must end (property
+ * "liveness").  A script with a violation is shrunk.
  */
 #include <chrono>
 #include <cstdio>
@@ -24,7 +26,7 @@
 namespace fuzz
 {
 
-enum Kind
+enum CommandKind
 {
   ADVANCE,
   REQUEST,
@@ -60,19 +62,43 @@
   KIND_COUNT,
 };
 
-const char *const kind_names[KIND_COUNT]
-    = { "advance",      "request",      "repeat",       "submit",
-        "cancel",       "crash",        "restart",      "pause",
-        "resume",       "stop",         "cut-zones",    "join-zones",
-        "cut-store",    "join-store",   "silence-link", "store-down",
-        "store-up",     "lose-answers", "slow-calls",   "duplicates",
-        "fair-weather", "set-limit",    "withdraw-key", "zone-out",
-        "zone-in",      "leaving",      "back",         "failing",
-        "sound",        "reboot",       "calm" };
-
+const char *const kind_names[KIND_COUNT] = { "advance",
+                                             "request",
+                                             "repeat",
+                                             "submit",
+                                             "cancel",
+                                             "crash",
+                                             "restart",
+                                             "pause",
+                                             "resume",
+                                             "stop",
+                                             "cut-zones",
+                                             "reconnect-zones",
+                                             "cut-store",
+                                             "reconnect-store",
+                                             "silence-link",
+                                             "store-down",
+                                             "store-up",
+                                             "lose-replies",
+                                             "slow-calls",
+                                             "duplicate-messages",
+                                             "stop-call-faults",
+                                             "set-limit",
+                                             "withdraw-key",
+                                             "zone-out",
+                                             "zone-in",
+                                             "instance-leaving",
+                                             "instance-back",
+                                             "instance-failing",
+                                             "instance-recovered",
+                                             "reboot-instance",
+                                             "quiet-period" };
+
+/* A command with two arguments from 0 to 9999, which each kind reduces to the
+   ranges that it needs. */
 struct Command
 {
-  Kind kind;
+  CommandKind kind;
   int a;
   int b;
 };
@@ -90,7 +116,7 @@
   using rc::gen::element;
   using rc::gen::just;
 
-  auto kind = rc::gen::weightedOneOf<Kind> (
+  auto kind = rc::gen::weightedOneOf<CommandKind> (
       { { 20, just (ADVANCE) },
         { 30, just (REQUEST) },
         { 5, just (REPEAT) },
@@ -111,26 +137,28 @@
                                       rc::gen::inRange (0, 10000));
 }
 
-/* Longest deadline and the time for which an answer is kept. */
+/* Covers the longest deadline and the time for which an answer is kept. */
 constexpr ms REQUEST_ID_RETENTION_MS = 130000;
 
-/* Longer than the oracle's time for changes after faults. */
+/* Longer than the time after a fault in which the oracle doesn't check
+   properties with a time bound. */
 constexpr ms QUIET_PERIOD_MS = 11000;
 
-/* A limit that lets all due work start. */
+/* High enough for all jobs that are left at the end of a script. */
 constexpr int64_t FINAL_UPPER_LIMIT = 400;
 
 class ScriptRun
 {
 public:
-  explicit ScriptRun (uint64_t seed, const ClusterConfig &shape)
-      : world (shape, seed)
+  explicit ScriptRun (uint64_t seed, const ClusterConfig &cluster)
+      : world (cluster, seed)
   {
   }
 
   World world;
 
-  /* Returns the number of the first violated step, or -1. */
+  /* Returns the index of the first command with a violation, the number of
+     commands if there is one after the last command, or -1. */
   int
   execute (const std::vector<Command> &commands, bool trace)
   {
@@ -163,10 +191,10 @@
   void
   print_states ()
   {
-    for (const auto &value : world.values)
+    for (const auto &value : world.store_values)
       if (value.first.compare (0, 7, "shared/") == 0)
         std::cout << value.first << ' ' << value.second.value << '\n';
-    for (int i = 0; i < world.schedulers (); i++)
+    for (int i = 0; i < world.scheduler_count (); i++)
       if (world.node (i)->is_alive ())
         {
           char *text = rst_scheduler_format_status (world.node (i)->scheduler);
@@ -186,24 +214,24 @@
         break;
       case REQUEST:
         for (int i = 0; i <= c.b % 4; i++)
-          world.request (c.a, c.b % world.shape.teams, c.a % 3 == 0,
-                         c.a % 4 == 0, c.a % 17 == 0 ? 1500 : 5 + c.a % 100,
-                         200 + c.b % 5000);
+          world.send_request (
+              c.a, c.b % world.cluster.teams, c.a % 3 == 0, c.a % 4 == 0,
+              c.a % 17 == 0 ? 1500 : 5 + c.a % 100, 200 + c.b % 5000);
         break;
       case QUIET_PERIOD:
         run_quiet_period (c);
         break;
       case REPEAT:
-        world.repeat_request (c.a,
-                              std::max (1, world.last_request () - c.b % 20));
+        world.repeat_request (
+            c.a, std::max (1, world.last_request_number () - c.b % 20));
         break;
       case SUBMIT:
-        world.submit (c.a, c.b % world.shape.teams,
-                      c.a % 10 < 7   ? 0
-                      : c.a % 10 < 9 ? 2
-                                     : 1,
-                      1 + c.b % 12, 500 + 500 * (c.a % 8), 100 + c.b % 3000,
-                      c.a % 2 == 0);
+        world.submit_job (c.a, c.b % world.cluster.teams,
+                          c.a % 10 < 7   ? 0
+                          : c.a % 10 < 9 ? 2
+                                         : 1,
+                          1 + c.b % 12, 500 + 500 * (c.a % 8),
+                          100 + c.b % 3000, c.a % 2 == 0);
         break;
       case CANCEL:
         world.cancel_job_by_index (c.a, c.b);
@@ -214,18 +242,18 @@
       }
   }
 
-  /* Faults heal, changes have their time, then work comes again: rules with
-     a time bound apply to it. */
+  /* Heals all faults, waits until all changes have taken effect and sends
+     requests and jobs, to which properties with a time bound then apply. */
   void
   run_quiet_period (const Command &c)
   {
     world.heal_faults ();
     world.advance (QUIET_PERIOD_MS);
-    for (int t = 0; t < world.shape.teams; t++)
+    for (int t = 0; t < world.cluster.teams; t++)
       {
-        world.request (c.a + t, t, false, false, 10, 2000);
+        world.send_request (c.a + t, t, false, false, 10, 2000);
         world.send_request_with_withdrawn_key (c.b + t, t);
-        world.submit (c.a + t, t, 0, 2, 500, 200, false);
+        world.submit_job (c.a + t, t, 0, 2, 500, 200, false);
       }
     world.advance (1000);
   }
@@ -233,7 +261,7 @@
   Node *
   pick_node (int which)
   {
-    return world.node (which % world.nodes ());
+    return world.node (which % world.node_count ());
   }
 
   void
@@ -245,43 +273,43 @@
         world.crash (pick_node (c.a));
         break;
       case RESTART:
-        for (int i = 0; i < world.nodes (); i++)
+        for (int i = 0; i < world.node_count (); i++)
           world.restart (world.node (i));
         break;
       case PAUSE:
         world.pause (pick_node (c.a));
         break;
       case RESUME:
-        for (int i = 0; i < world.nodes (); i++)
+        for (int i = 0; i < world.node_count (); i++)
           world.resume (world.node (i));
         break;
       case STOP:
-        world.stop (world.node (c.a % world.schedulers ()));
+        world.stop (world.node (c.a % world.scheduler_count ()));
         break;
       case CUT_ZONES:
       case RECONNECT_ZONES:
-        world.cut_zones (c.a % world.shape.zones, c.b % world.shape.zones,
+        world.cut_zones (c.a % world.cluster.zones, c.b % world.cluster.zones,
                          c.kind == CUT_ZONES);
         break;
       case CUT_STORE:
       case RECONNECT_STORE:
-        world.cut_store (c.a % world.shape.zones, c.kind == CUT_STORE);
+        world.cut_store (c.a % world.cluster.zones, c.kind == CUT_STORE);
         break;
       case SILENCE_LINK:
         world.make_link_silent ((uint64_t)c.a);
         break;
       case STORE_DOWN:
       case STORE_UP:
-        world.store_down (c.kind == STORE_DOWN);
+        world.set_store_down (c.kind == STORE_DOWN);
         break;
       default:
-        inject_call_fault_or_change_setting (c);
+        change_environment (c);
         break;
       }
   }
 
   void
-  inject_call_fault_or_change_setting (const Command &c)
+  change_environment (const Command &c)
   {
     switch (c.kind)
       {
@@ -298,14 +326,14 @@
         world.set_fault_rates (0, 0, 0);
         break;
       case SET_LIMIT:
-        world.set_limit (c.a % world.shape.teams, 4 + c.b % 40);
+        world.set_limit (c.a % world.cluster.teams, 4 + c.b % 40);
         break;
       case WITHDRAW_KEY:
-        world.withdraw_key (c.a % world.shape.teams);
+        world.withdraw_key (c.a % world.cluster.teams);
         break;
       case ZONE_OUT:
       case ZONE_IN:
-        world.set_zone_state (c.a % world.shape.zones, c.kind == ZONE_OUT,
+        world.set_zone_state (c.a % world.cluster.zones, c.kind == ZONE_OUT,
                               c.b % 2 == 0);
         break;
       case INSTANCE_LEAVING:
@@ -324,17 +352,17 @@
       }
   }
 
-  /* After all faults have healed, all due work must start and end. */
+  /* Heals all faults; then all jobs and requests must end. */
   void
   check_liveness ()
   {
     world.heal_all ();
-    for (int z = 0; z < world.shape.zones; z++)
+    for (int z = 0; z < world.cluster.zones; z++)
       world.set_zone_state (z, false, false);
-    for (int t = 0; t < world.shape.teams; t++)
+    for (int t = 0; t < world.cluster.teams; t++)
       world.set_limit (t, FINAL_UPPER_LIMIT);
     world.advance (30000);
-    /* Services never end and would keep the places of due work. */
+    /* Services never end and would occupy the capacity for other jobs. */
     for (int i = 0; i < 3; i++)
       {
         world.cancel_all_services ();
@@ -355,8 +383,8 @@
               + " requests have no outcome",
           world.now);
     check_requests (false);
-    /* A request id whose home was lost is answered as unknown until no
-       earlier run can be meant any more. */
+    /* When the process that recorded a request id has lost its records, the
+       outcome is unknown until no earlier run can have that id. */
     world.advance (REQUEST_ID_RETENTION_MS);
     check_requests (true);
   }
@@ -364,50 +392,50 @@
   void
   check_requests (bool keyed)
   {
-    int before = world.answered;
+    int before = world.answered_count;
     int sent = 0;
 
-    for (int t = 0; t < world.shape.teams; t++)
-      for (int z = 0; z < world.shape.zones; z++, sent++)
-        world.request (z, t, false, keyed, 20, 3000);
+    for (int t = 0; t < world.cluster.teams; t++)
+      for (int z = 0; z < world.cluster.zones; z++, sent++)
+        world.send_request (z, t, false, keyed, 20, 3000);
     world.advance (8000);
-    if (world.answered - before != sent)
-      world.oracle.record_violation ("liveness",
-                                     std::to_string (world.answered - before)
-                                         + " of " + std::to_string (sent)
-                                         + " requests were answered",
-                                     world.now);
+    if (world.answered_count - before != sent)
+      world.oracle.record_violation (
+          "liveness",
+          std::to_string (world.answered_count - before) + " of "
+              + std::to_string (sent) + " requests were answered",
+          world.now);
   }
 };
 
 static void
-print_account (const World &world)
+print_totals (const World &world)
 {
-  std::cout << "account: " << world.answered << " answered, " << world.not_run
-            << " not run, " << world.unknown << " unknown, "
-            << world.oracle.runs () << " runs, "
+  std::cout << "totals: " << world.answered_count << " answered, "
+            << world.not_run_count << " not run, " << world.unknown_count
+            << " unknown, " << world.oracle.run_count () << " runs, "
             << world.oracle.started_task_count () << " tasks started, "
             << world.store_writes << " store writes, " << world.store_reads
             << " store reads, " << world.messages << " messages, "
             << world.now / 1000 << " s\n";
 }
 
-/* Runs a script in a world of its own. */
+/* Executes a script in a new world and returns the violations. */
 static std::vector<Violation>
 run_script (const std::vector<Command> &commands, uint64_t seed, bool trace,
-            bool account = false)
+            bool with_totals = false)
 {
   ScriptRun run (seed, ClusterConfig ());
 
   run.execute (commands, trace);
-  if (account)
-    print_account (run.world);
+  if (with_totals)
+    print_totals (run.world);
   return run.world.oracle.violations;
 }
 
 constexpr int MAX_SHRINK_ATTEMPTS = 400;
 
-/* The shortest script found that violates the same property. */
+/* Returns the shortest script found that violates the same property first. */
 static std::vector<Command>
 shrink (rc::Shrinkable<std::vector<Command> > failing, uint64_t seed,
         const std::string &property)
@@ -452,16 +480,16 @@
 {
   auto generator = rc::gen::container<std::vector<Command> > (
       (std::size_t)steps, make_command_generator ());
-  auto made = generator (rc::Random (seed), 100);
+  auto generated = generator (rc::Random (seed), 100);
   std::vector<Violation> violations
-      = run_script (made.value (), seed, trace, true);
+      = run_script (generated.value (), seed, trace, true);
 
   if (!violations.empty ())
     {
       print_violations (violations);
       if (shrinking)
         {
-          auto script = shrink (made, seed, violations[0].property);
+          auto script = shrink (generated, seed, violations[0].property);
 
           std::cout << "shrunk script of " << script.size () << " commands:\n";
           for (const auto &command : script)
@@ -497,7 +525,7 @@
   bool trace = false;
   bool shrinking = true;
   struct rst_log_config log = { false, "error" };
-  int bad = 0;
+  int failed_seeds = 0;
 
   for (int i = 1; i < argc; i++)
     {
@@ -536,8 +564,9 @@
   rst_log_init ("fuzz", &log);
   for (int i = 0; i < seeds; i++)
     if (fuzz::fuzz_seed (seed + (uint64_t)i, steps, trace, shrinking) > 0)
-      bad++;
+      failed_seeds++;
   if (seeds > 1)
-    std::cout << seeds - bad << " of " << seeds << " seeds held\n";
-  return bad == 0 ? 0 : 1;
+    std::cout << seeds - failed_seeds << " of " << seeds
+              << " seeds without violations\n";
+  return failed_seeds == 0 ? 0 : 1;
 }
