--- a/test/run/programs.sh
+++ b/test/run/programs.sh
@@ -1,21 +1,22 @@
-# What the programs say to bad arguments and settings: one line for each
-# problem, exit status 2, nothing started.
+# Starts the programs with invalid arguments and settings.  Each prints one
+# line for each problem, exits with status 2 and starts nothing.
 . test/run/lib.sh
 
-try ()
+# run_program PROGRAM [ARGUMENT...] - prints a program's output and status.
+run_program ()
 {
-  "$@" 2>&1 | sed "s|$run|RUN|g; s|$bin/||g"
+  "$@" 2>&1 | sed "s|$run_dir|RUN|g; s|$bin_dir/||g"
   echo "status ${PIPESTATUS[0]}"
 }
 
 for program in rosemarystile-schedd rosemarystile-entryd standin-store
 do
-  try "$bin/$program" --version
-  try "$bin/$program"
-  try "$bin/$program" --colour
-  try "$bin/$program" --settings /nowhere
+  run_program "$bin_dir/$program" --version
+  run_program "$bin_dir/$program"
+  run_program "$bin_dir/$program" --colour
+  run_program "$bin_dir/$program" --settings /nowhere
 done
-cat >"$run/bad.json" <<EOF
+cat >"$run_dir/bad.json" <<EOF
 {
   "name": "e 1", "listen": "localhost:1", "status_listen": 5,
   "store": { "address": "127.0.0.1:1", "timeout_ms": 1, "colour": true },
@@ -24,21 +25,23 @@
   "peers": [ "nowhere" ]
 }
 EOF
-try "$bin/rosemarystile-schedd" --settings "$run/bad.json"
-cat >"$run/cross.json" <<EOF
+run_program "$bin_dir/rosemarystile-schedd" --settings "$run_dir/bad.json"
+cat >"$run_dir/cross.json" <<EOF
 { "name": "e1", "availability_zone": "z1", "listen": "127.0.0.1:0",
   "status_listen": "127.0.0.1:0", "store": { "address": "127.0.0.1:1" },
   "list": { "address": "127.0.0.1:1" }, "tenure": { "quiet_ms": 600 },
   "peers": [ "nowhere" ] }
 EOF
-try "$bin/rosemarystile-schedd" --settings "$run/cross.json"
-sed -i 's/"tenure.*//; s/"peers.*/"log": { "level": "info" } }/' "$run/cross.json"
-try "$bin/rosemarystile-schedd" --settings "$run/cross.json" --check-settings
-echo '{ "name": ' >"$run/cut.json"
-try "$bin/rosemarystile-entryd" --settings "$run/cut.json"
-try "$bin/rosemarystile-ctl" dance
-try "$bin/rosemarystile-ctl" team set
-try "$bin/rosemarystile-ctl" --store nowhere team list
-try "$bin/rosemarystile-ctl" --store 127.0.0.1:1 team list
-try "$bin/rosemarystile-ctl" --upper-limit many team set alpha
-try "$bin/rosemarystile-load" --key k
+run_program "$bin_dir/rosemarystile-schedd" --settings "$run_dir/cross.json"
+sed -i 's/"tenure.*//; s/"peers.*/"log": { "level": "info" } }/' \
+  "$run_dir/cross.json"
+run_program "$bin_dir/rosemarystile-schedd" --settings "$run_dir/cross.json" \
+  --check-settings
+echo '{ "name": ' >"$run_dir/cut.json"
+run_program "$bin_dir/rosemarystile-entryd" --settings "$run_dir/cut.json"
+run_program "$bin_dir/rosemarystile-ctl" dance
+run_program "$bin_dir/rosemarystile-ctl" team set
+run_program "$bin_dir/rosemarystile-ctl" --store nowhere team list
+run_program "$bin_dir/rosemarystile-ctl" --store 127.0.0.1:1 team list
+run_program "$bin_dir/rosemarystile-ctl" --upper-limit many team set alpha
+run_program "$bin_dir/rosemarystile-load" --key k
--- a/tools/lib/cluster.sh
+++ b/tools/lib/cluster.sh
@@ -1,114 +1,120 @@
-# Starts the stand-ins and daemons of one cell on loopback, and ends them by
-# process id.  Expects in $bin the folder of the programs and in $run a folder
-# for settings and logs.  Every port is chosen by the kernel.
-
-declare -A pid_of address_of status_of
+# Functions that start the stand-ins and daemons of one cell on loopback and
+# stop them by process id.  The caller sets $bin_dir to the directory of the
+# programs and $run_dir to a directory for settings and logs.  The kernel
+# chooses every port.
+
+# Process id, HTTP address and address of the frame listener of each started
+# program, by the name that it was started under.
+declare -A pid_of frame_address_of http_address_of
 log_level=${log_level:-warning}
 
-# await_line NAME PATTERN FILE - waits for a line of a program's file and leaves
-# it in $ready_line; tells when the program ends before.
-await_line ()
+# wait_for_start NAME PATTERN FILE - waits until FILE has a line that matches
+# PATTERN and stores that line in $start_line.  Fails and prints the program's
+# log if the program exits first or the line doesn't appear within about 10 s.
+wait_for_start ()
 {
   local i
 
   for i in $(seq 1 500)
   do
-    ready_line=$(grep -m 1 "$2" "$3" 2>/dev/null)
-    [ -n "$ready_line" ] && return 0
+    start_line=$(grep -m 1 "$2" "$3" 2>/dev/null)
+    [ -n "$start_line" ] && return 0
     kill -0 "${pid_of[$1]}" 2>/dev/null || break
     sleep 0.02
   done
   echo "$1 did not start:"
-  cat "$run/$1.log"
+  cat "$run_dir/$1.log"
   return 1
 }
 
-# word_of KEY - the value of KEY=VALUE in $ready_line, or "".
-word_of ()
+# get_start_field KEY - prints the value of KEY=VALUE in $start_line, or "".
+get_start_field ()
 {
-  echo "$ready_line" | sed -n "s/.*$1=\\([^ ]*\\).*/\\1/p"
+  echo "$start_line" | sed -n "s/.*$1=\\([^ ]*\\).*/\\1/p"
 }
 
-# start NAME PROGRAM SETTINGS - starts a program and waits until it is ready.
-# It runs in the main shell's process group; its id is kept in pid_of.
-start ()
+# start_program NAME PROGRAM SETTINGS - starts a program in the shell's own
+# process group and waits for its line "ready" on standard output.
+start_program ()
 {
-  "$bin/$2" --settings "$3" >"$run/$1.out" 2>>"$run/$1.log" &
+  "$bin_dir/$2" --settings "$3" >"$run_dir/$1.out" 2>>"$run_dir/$1.log" &
   pid_of[$1]=$!
-  await_line "$1" '^ready' "$run/$1.out" || return 1
-  status_of[$1]=$(word_of http)
-  address_of[$1]=$(word_of frames)
+  wait_for_start "$1" '^ready' "$run_dir/$1.out" || return 1
+  http_address_of[$1]=$(get_start_field http)
+  frame_address_of[$1]=$(get_start_field frames)
 }
 
-# start_logged NAME PROGRAM SETTINGS - starts a daemon that logs to standard
-# output, and waits for its line "Started.".
-start_logged ()
+# start_platform_daemon NAME PROGRAM SETTINGS - starts a daemon of the users'
+# platform, which logs to standard output, and waits for its log line
+# "Started.".
+start_platform_daemon ()
 {
-  "$bin/$2" --settings "$3" >"$run/$1.log" 2>&1 &
+  "$bin_dir/$2" --settings "$3" >"$run_dir/$1.log" 2>&1 &
   pid_of[$1]=$!
-  await_line "$1" 'Started\.' "$run/$1.log" || return 1
-  status_of[$1]=$(word_of listen)
+  wait_for_start "$1" 'Started\.' "$run_dir/$1.log" || return 1
+  http_address_of[$1]=$(get_start_field listen)
 }
 
-# start_platform INSTANCES
+# start_platform INSTANCES - starts the stand-in of the users' platform.
 start_platform ()
 {
   echo "{ \"listen\": \"127.0.0.1:0\", \"instances\": { \"count\": $1 } }" \
-    >"$run/platform.json"
-  start platform standin-platform "$run/platform.json"
+    >"$run_dir/platform.json"
+  start_program platform standin-platform "$run_dir/platform.json"
 }
 
-# put_operators KEY JSON - writes a key as the operators do.
-put_operators ()
+# put_operator_key KEY JSON - writes a key of the platform's store, as its
+# operators do.
+put_operator_key ()
 {
   local value
 
   value=$(printf '%s' "$2" | base64 -w 0)
   curl -sS --max-time 5 -o /dev/null \
     -d "{\"expected_rev\":[],\"writes\":[{\"key\":\"$1\",\"value\":\"$value\"}],\"remove\":[]}" \
-    "http://${status_of[platform]}/-/kv-txn"
+    "http://${http_address_of[platform]}/-/kv-txn"
 }
 
-# start_celld NAME
+# start_celld NAME - starts a planner and agent daemon.
 start_celld ()
 {
-  cat >"$run/celld-$1.json" <<EOF
+  cat >"$run_dir/celld-$1.json" <<EOF
 {
   "name": "$1",
   "availability_zone": "z1",
   "listen": "127.0.0.1:0",
-  "store": "${status_of[platform]}",
-  "advice": "${status_of[platform]}",
+  "store": "${http_address_of[platform]}",
+  "advice": "${http_address_of[platform]}",
   "early_ms": 250
 }
 EOF
-  start_logged "celld-$1" rosemarystile-celld "$run/celld-$1.json"
+  start_platform_daemon "celld-$1" rosemarystile-celld "$run_dir/celld-$1.json"
 }
 
-# start_jobd NAME
+# start_jobd NAME - starts an entry daemon of the users' platform.
 start_jobd ()
 {
-  cat >"$run/jobd-$1.json" <<EOF
+  cat >"$run_dir/jobd-$1.json" <<EOF
 {
   "name": "$1",
   "availability_zone": "z1",
   "listen": "127.0.0.1:0",
   "readiness": "127.0.0.1:0",
-  "store": "${status_of[platform]}"
+  "store": "${http_address_of[platform]}"
 }
 EOF
-  start_logged "jobd-$1" rosemarystile-jobd "$run/jobd-$1.json"
+  start_platform_daemon "jobd-$1" rosemarystile-jobd "$run_dir/jobd-$1.json"
 }
 
-# stop NAME - stops a process by SIGTERM; returns its exit status.
-stop ()
+# stop_process NAME - stops a process by SIGTERM and returns its exit status.
+stop_process ()
 {
   kill -TERM "${pid_of[$1]}"
   wait "${pid_of[$1]}" 2>/dev/null
 }
 
-# kill_hard NAME - ends a process by SIGKILL.
-kill_hard ()
+# kill_process NAME - kills a process by SIGKILL, also if it is paused.
+kill_process ()
 {
   kill -CONT "${pid_of[$1]}" 2>/dev/null
   kill -KILL "${pid_of[$1]}" 2>/dev/null
@@ -116,90 +122,92 @@
   return 0
 }
 
-# stop_all - ends every process that was started here.
-stop_all ()
+# kill_all_processes - kills every process that these functions started.
+kill_all_processes ()
 {
   local name
 
   for name in "${!pid_of[@]}"
   do
-    kill_hard "$name"
+    kill_process "$name"
   done
   pid_of=()
 }
 
+# start_store - starts the stand-in of the store.
 start_store ()
 {
-  echo '{ "listen": "127.0.0.1:0" }' >"$run/store.json"
-  start store standin-store "$run/store.json"
+  echo '{ "listen": "127.0.0.1:0" }' >"$run_dir/store.json"
+  start_program store standin-store "$run_dir/store.json"
 }
 
-# start_list LAG_MS
-start_list ()
+# start_instance_list LAG_MS - the list shows changes after LAG_MS.
+start_instance_list ()
 {
-  echo "{ \"listen\": \"127.0.0.1:0\", \"lag_ms\": $1 }" >"$run/list.json"
-  start list standin-list "$run/list.json"
+  echo "{ \"listen\": \"127.0.0.1:0\", \"lag_ms\": $1 }" >"$run_dir/list.json"
+  start_program list standin-list "$run_dir/list.json"
 }
 
-# start_fleet ZONE RUNNERS WORKERS
+# start_fleet ZONE RUNNERS WORKERS - starts the instances of one zone.
 start_fleet ()
 {
-  cat >"$run/fleet-$1.json" <<EOF
+  cat >"$run_dir/fleet-$1.json" <<EOF
 {
   "availability_zone": "$1",
   "host": "127.0.0.1",
   "control": "127.0.0.1:0",
-  "list": { "address": "${status_of[list]}" },
+  "list": { "address": "${http_address_of[list]}" },
   "runners": { "count": $2, "slots": 8, "run_ms": 5 },
   "workers": { "count": $3, "cpu_milli": 16000, "memory_mb": 65536,
                "accelerators": 0, "rack_size": 8 }
 }
 EOF
-  start "fleet-$1" standin-fleet "$run/fleet-$1.json"
+  start_program "fleet-$1" standin-fleet "$run_dir/fleet-$1.json"
 }
 
-# start_schedd ZONE NAME
+# start_schedd ZONE NAME - starts the scheduler of entry instance NAME.
 start_schedd ()
 {
-  cat >"$run/schedd-$2.json" <<EOF
+  cat >"$run_dir/schedd-$2.json" <<EOF
 {
   // The scheduler of entry instance $2.
   "name": "$2",
   "availability_zone": "$1",
-  "listen": "${address_of[schedd-$2]:-127.0.0.1:0}",
+  "listen": "${frame_address_of[schedd-$2]:-127.0.0.1:0}",
   "status_listen": "127.0.0.1:0",
-  "store": { "address": "${status_of[store]}", "timeout_ms": 1000 },
-  "list": { "address": "${status_of[list]}", "interval_ms": 500 },
+  "store": { "address": "${http_address_of[store]}", "timeout_ms": 1000 },
+  "list": { "address": "${http_address_of[list]}", "interval_ms": 500 },
   "log": { "format": "plain", "level": "$log_level" }
 }
 EOF
-  start "schedd-$2" rosemarystile-schedd "$run/schedd-$2.json"
+  start_program "schedd-$2" rosemarystile-schedd "$run_dir/schedd-$2.json"
 }
 
-# start_entryd ZONE NAME
+# start_entryd ZONE NAME - starts the entry of entry instance NAME.
 start_entryd ()
 {
-  cat >"$run/entryd-$2.json" <<EOF
+  cat >"$run_dir/entryd-$2.json" <<EOF
 {
-  // The entry of entry instance $2; it learns of other schedulers from its
-  // own.
+  // The entry of entry instance $2.  It learns the addresses of the other
+  // schedulers from the scheduler of its own entry instance.
   "name": "$2",
   "availability_zone": "$1",
-  "listen": "${status_of[entryd-$2]:-127.0.0.1:0}",
-  "schedulers": [ "${address_of[schedd-$2]}" ],
+  "listen": "${http_address_of[entryd-$2]:-127.0.0.1:0}",
+  "schedulers": [ "${frame_address_of[schedd-$2]}" ],
   "log": { "format": "plain", "level": "$log_level" }
 }
 EOF
-  start "entryd-$2" rosemarystile-entryd "$run/entryd-$2.json"
+  start_program "entryd-$2" rosemarystile-entryd "$run_dir/entryd-$2.json"
 }
 
-# get ADDRESS PATH - prints an answer's body.
-get ()
+# http_get ADDRESS PATH - prints the body of the response.
+http_get ()
 {
   curl -sS --max-time 5 "http://$1$2"
 }
 
-# wait_for SECONDS COMMAND... - repeats a command until it succeeds.
+# wait_for SECONDS COMMAND... - repeats a command until it succeeds; fails if
+# it hasn't after that time.
 wait_for ()
 {
   local deadline=$(($(date +%s%N) / 1000000 + $1 * 1000))
@@ -212,28 +220,30 @@
   done
 }
 
-# now_ms - milliseconds of the system's clock.
-now_ms ()
+# get_time_ms - prints the system clock in milliseconds since the epoch.
+get_time_ms ()
 {
   echo $(($(date +%s%N) / 1000000))
 }
 
+# is_ready ADDRESS - whether a daemon reports that it is ready.
 is_ready ()
 {
   curl -sf --max-time 2 "http://$1/readyz"
 }
 
-# owned_instances - how many instances have an owner that is ready for them.
-owned_instances ()
+# count_owned_instances - prints how many instances have a scheduler that owns
+# them and can place work on them.
+count_owned_instances ()
 {
   local name sum=0 count
 
-  for name in "${!status_of[@]}"
+  for name in "${!http_address_of[@]}"
   do
     case $name in
       schedd-*)
         kill -0 "${pid_of[$name]:-0}" 2>/dev/null || continue
-        count=$(get "${status_of[$name]}" /status 2>/dev/null \
+        count=$(http_get "${http_address_of[$name]}" /status 2>/dev/null \
           | jq '[.instances[] | select(.ready)] | length' 2>/dev/null)
         sum=$((sum + ${count:-0}))
         ;;
@@ -242,41 +252,45 @@
   echo "$sum"
 }
 
-all_owned ()
+# all_instances_are_owned COUNT - whether COUNT instances have a ready owner.
+all_instances_are_owned ()
 {
-  [ "$(owned_instances)" -eq "$1" ]
+  [ "$(count_owned_instances)" -eq "$1" ]
 }
 
+# ctl ARGUMENT... - runs the operators' tool on the cell's store.
 ctl ()
 {
-  "$bin/rosemarystile-ctl" --store "${status_of[store]}" "$@"
+  "$bin_dir/rosemarystile-ctl" --store "${http_address_of[store]}" "$@"
 }
 
-# fleet_sum FIELD - sums a figure over the accounts of all fleets.
-fleet_sum ()
+# sum_over_fleets FIELD - prints the sum of a counter of all fleets.
+sum_over_fleets ()
 {
   local name sum=0
 
-  for name in "${!status_of[@]}"
+  for name in "${!http_address_of[@]}"
   do
     case $name in
       fleet-*)
-        sum=$((sum + $(get "${status_of[$name]}" /account | jq ".$1")))
+        sum=$((sum
+          + $(http_get "${http_address_of[$name]}" /account | jq ".$1")))
         ;;
     esac
   done
   echo "$sum"
 }
 
-# ran_twice - queries that must run once and ran on two runners.
-ran_twice ()
+# count_repeated_queries - prints how many queries that must run once ran in
+# more than one fleet.  Repeats within a fleet are its counter "doubled".
+count_repeated_queries ()
 {
   local name
 
-  for name in "${!status_of[@]}"
+  for name in "${!http_address_of[@]}"
   do
     case $name in
-      fleet-*) get "${status_of[$name]}" /ran ;;
+      fleet-*) http_get "${http_address_of[$name]}" /ran ;;
     esac
   done | sort | uniq -d | wc -l
 }
--- a/tools/lib/packages.sh
+++ b/tools/lib/packages.sh
@@ -1,10 +1,12 @@
-# Installs the packages that the build and the tests use, if any is missing.
+# Functions that install packages and build the programs.
 
+# Packages that the build, the tests and the linters need.
 packages="build-essential cmake ninja-build pkg-config libck-dev \
 libmsgpack-dev libmicrohttpd-dev libcurl4-openssl-dev libargtable2-dev \
 libglib2.0-dev libjson-c-dev libxxhash-dev libsodium-dev libgtest-dev \
 librapidcheck-dev clang-format clang-tidy cppcheck jq curl"
 
+# install_packages - installs those of $packages that are missing.
 install_packages ()
 {
   local missing=""
@@ -23,8 +25,9 @@
     --no-install-recommends $missing >/dev/null
 }
 
-# build DIRECTORY [CMAKE OPTION...]
-build ()
+# build_programs DIRECTORY [CMAKE OPTION...] - builds all targets; on failure
+# prints the end of the build's log.
+build_programs ()
 {
   local directory=$1
 
