--- a/test/cell/fuzz.cc
+++ b/test/cell/fuzz.cc
@@ -19,10 +19,10 @@
 using namespace cell;
 
 // Time in which faults come, and then to get everything done, in ms.
-static const Millis settle_ms = 60000;
+static const Millis settle_time_ms = 60000;
 
 static std::string
-job_id (int number)
+format_job_id (int number)
 {
   char text[17];
 
@@ -33,20 +33,20 @@
 static rst_jobdesc *
 draw_job (World &world)
 {
-  int steps = 1 + world.below (2);
+  int steps = 1 + world.draw_below (2);
   rst_jobdesc *desc = rst_jobdesc_create (steps);
-  bool urgent = world.chance () < 0.4;
+  bool urgent = world.draw_unit () < 0.4;
 
-  desc->spec = g_strdup (world.chance () < 0.08 ? "fail" : "work");
+  desc->spec = g_strdup (world.draw_unit () < 0.08 ? "fail" : "work");
   for (int i = 0; i < steps; i++)
     {
       rst_step &step = desc->steps[i];
 
-      step.count = 1 + world.below (5);
-      step.need.cpu = 200 + world.below (1200);
+      step.count = 1 + world.draw_below (5);
+      step.need.cpu = 200 + world.draw_below (1200);
       step.need.memory = 100;
-      step.estimate_ms = urgent ? 200 : 400 + world.below (1500);
-      step.gang = !urgent && world.chance () < 0.3;
+      step.estimate_ms = urgent ? 200 : 400 + world.draw_below (1500);
+      step.gang = !urgent && world.draw_unit () < 0.3;
       step.label = g_strdup ("");
       step.rack = g_strdup ("");
       step.image = g_strdup ("");
@@ -57,85 +57,87 @@
 }
 
 static void
-fault_node (World &world)
+inject_node_fault (World &world)
 {
-  Node &node = *world.nodes[(size_t)world.below ((int)world.nodes.size ())];
-  Node *planner = world.planner ();
-  Node &hit = planner != nullptr && world.chance () < 0.5 ? *planner : node;
+  Node &node
+      = *world.nodes[(size_t)world.draw_below ((int)world.nodes.size ())];
+  Node *planner = world.find_planner ();
+  Node &target
+      = planner != nullptr && world.draw_unit () < 0.5 ? *planner : node;
 
-  switch (world.below (5))
+  switch (world.draw_below (5))
     {
     case 0:
     case 1:
-      if (hit.node != nullptr)
-        world.kill_node (hit, world.chance () < 0.5);
+      if (target.cell_node != nullptr)
+        world.kill_node (target, world.draw_unit () < 0.5);
       break;
     case 2:
-      world.set_cut (hit, true);
+      world.set_isolated (target, true);
       break;
     case 3:
-      hit.store_cut = true;
+      target.is_store_unreachable = true;
       break;
     default:
-      hit.frozen_until = world.now () + 500 + world.below (5000);
+      target.paused_until = world.now () + 500 + world.draw_below (5000);
       break;
     }
 }
 
 static void
-mend_nodes (World &world, bool all)
+repair_nodes (World &world, bool all)
 {
   for (auto &node : world.nodes)
     {
-      if (!all && world.chance () < 0.6)
+      if (!all && world.draw_unit () < 0.6)
         continue;
-      node->store_cut = false;
-      if (node->cut)
-        world.set_cut (*node, false);
-      if (node->node == nullptr)
+      node->is_store_unreachable = false;
+      if (node->is_isolated)
+        world.set_isolated (*node, false);
+      if (node->cell_node == nullptr)
         world.start_node (*node);
     }
 }
 
 static void
-fault_worker (World &world)
+inject_instance_fault (World &world)
 {
-  Worker &worker
-      = *world.workers[(size_t)world.below ((int)world.workers.size ())];
+  Instance &instance = *world.instances[(size_t)world.draw_below (
+      (int)world.instances.size ())];
 
-  if (!worker.up)
+  if (!instance.is_up)
     return;
-  if (world.chance () < 0.4)
-    world.crash_worker (worker, 200 + world.below (2000));
+  if (world.draw_unit () < 0.4)
+    world.crash_instance (instance, 200 + world.draw_below (2000));
   else
-    worker.cut = !worker.cut;
+    instance.is_unreachable = !instance.is_unreachable;
 }
 
 static void
-draw_faults (World &world)
+draw_fault_probabilities (World &world)
 {
-  world.faults.lose_answer = world.chance () < 0.3 ? 0.05 : 0.0;
-  world.faults.late_order = world.chance () < 0.3 ? 0.05 : 0.0;
-  world.faults.lose_commit = world.chance () < 0.3 ? 0.2 : 0.0;
-  world.faults.late_commit = world.chance () < 0.2 ? 0.2 : 0.0;
-  world.faults.store_down = world.chance () < 0.1;
-  world.faults.store_delay = world.chance () < 0.2 ? 240 : 4;
+  world.faults.lose_answer_probability = world.draw_unit () < 0.3 ? 0.05 : 0.0;
+  world.faults.late_order_probability = world.draw_unit () < 0.3 ? 0.05 : 0.0;
+  world.faults.lose_commit_probability = world.draw_unit () < 0.3 ? 0.2 : 0.0;
+  world.faults.late_commit_probability = world.draw_unit () < 0.2 ? 0.2 : 0.0;
+  world.faults.is_store_down = world.draw_unit () < 0.1;
+  world.faults.store_delay_ms = world.draw_unit () < 0.2 ? 240 : 4;
 }
 
 static void
-mend_all (World &world)
+repair_all (World &world)
 {
-  double fail_run = world.faults.fail_run;
+  double fail_run_probability = world.faults.fail_run_probability;
 
   world.faults = Faults ();
-  world.faults.fail_run = fail_run;
-  mend_nodes (world, true);
-  for (auto &worker : world.workers)
-    worker->cut = false;
+  world.faults.fail_run_probability = fail_run_probability;
+  repair_nodes (world, true);
+  for (auto &instance : world.instances)
+    instance->is_unreachable = false;
 }
 
 static int
-check_end (World &world)
+report_unfinished_jobs (World &world)
 {
   int unfinished = 0;
 
@@ -143,7 +145,7 @@
     {
       const Job &job = entry.second;
 
-      if (job.accepted && !world.known_over (entry.first))
+      if (job.is_accepted && !world.is_reported_ended (entry.first))
         {
           unfinished++;
           printf ("unfinished: %s\n", entry.first.c_str ());
@@ -153,7 +155,7 @@
 }
 
 static bool
-play (uint64_t seed, int seconds, bool outlive)
+run_seed (uint64_t seed, int seconds, bool orders_survive_restart)
 {
   World world (seed, 5, 12);
   Millis start = world.now ();
@@ -161,41 +163,41 @@
   int jobs = 0;
   int unfinished;
 
-  world.orders_outlive = outlive;
+  world.orders_survive_restart = orders_survive_restart;
   world.run_until (start + 3000);
   while (world.now () < end)
     {
-      world.run_until (world.now () + 50 + world.below (100));
-      if (world.chance () < 0.6)
-        world.submit (job_id (++jobs), draw_job (world));
-      if (jobs > 0 && world.chance () < 0.3)
-        world.read (job_id (1 + world.below (jobs)));
-      if (jobs > 0 && world.chance () < 0.05)
-        world.cancel (job_id (1 + world.below (jobs)));
-      if (world.chance () < 0.03)
-        fault_node (world);
-      if (world.chance () < 0.06)
-        mend_nodes (world, false);
-      if (world.chance () < 0.03)
-        fault_worker (world);
-      if (world.chance () < 0.02)
-        draw_faults (world);
+      world.run_until (world.now () + 50 + world.draw_below (100));
+      if (world.draw_unit () < 0.6)
+        world.submit (format_job_id (++jobs), draw_job (world));
+      if (jobs > 0 && world.draw_unit () < 0.3)
+        world.read (format_job_id (1 + world.draw_below (jobs)));
+      if (jobs > 0 && world.draw_unit () < 0.05)
+        world.cancel (format_job_id (1 + world.draw_below (jobs)));
+      if (world.draw_unit () < 0.03)
+        inject_node_fault (world);
+      if (world.draw_unit () < 0.06)
+        repair_nodes (world, false);
+      if (world.draw_unit () < 0.03)
+        inject_instance_fault (world);
+      if (world.draw_unit () < 0.02)
+        draw_fault_probabilities (world);
     }
-  mend_all (world);
-  for (Millis at = 0; at < settle_ms; at += 1000)
+  repair_all (world);
+  for (Millis at = 0; at < settle_time_ms; at += 1000)
     {
       world.run_until (world.now () + 1000);
       for (auto &entry : world.jobs)
-        if (!world.known_over (entry.first))
+        if (!world.is_reported_ended (entry.first))
           world.read (entry.first);
     }
-  unfinished = check_end (world);
-  for (auto &breach : world.breaches)
-    printf ("violated: %s\n", breach.c_str ());
+  unfinished = report_unfinished_jobs (world);
+  for (auto &violation : world.violations)
+    printf ("violated: %s\n", violation.c_str ());
   printf ("seed %llu: %d jobs, %d completed, %d unfinished, %zu violated\n",
           (unsigned long long)seed, jobs, world.completed (), unfinished,
-          world.breaches.size ());
-  return unfinished == 0 && world.breaches.empty ();
+          world.violations.size ());
+  return unfinished == 0 && world.violations.empty ();
 }
 
 int
@@ -205,7 +207,7 @@
   int seconds = 60;
   int seeds = 1;
   int failed = 0;
-  bool outlive = false;
+  bool orders_survive_restart = false;
   rst_log_config log = { false, "error", false };
 
   for (int i = 1; i + 1 < argc; i += 2)
@@ -219,13 +221,13 @@
       else if (strcmp (argv[i], "--fault") == 0)
         rst_cell_fault = atoi (argv[i + 1]);
       else if (strcmp (argv[i], "--outlive") == 0)
-        outlive = atoi (argv[i + 1]) != 0;
+        orders_survive_restart = atoi (argv[i + 1]) != 0;
       else if (strcmp (argv[i], "--log") == 0)
         g_strlcpy (log.level, argv[i + 1], sizeof log.level);
     }
   rst_log_init ("cell-fuzz", &log);
   for (int i = 0; i < seeds; i++)
-    if (!play (seed + (uint64_t)i, seconds, outlive))
+    if (!run_seed (seed + (uint64_t)i, seconds, orders_survive_restart))
       failed++;
   if (failed > 0)
     printf ("%d of %d seeds failed\n", failed, seeds);
--- a/test/cell/store.cc
+++ b/test/cell/store.cc
@@ -8,31 +8,31 @@
 {
 
 // When the adapter gives up a call that is not answered.
-static const Millis get_timeout = 600;
-static const Millis range_timeout = 1500;
-static const Millis commit_timeout = 700;
+static const Millis get_timeout_ms = 600;
+static const Millis range_timeout_ms = 1500;
+static const Millis commit_timeout_ms = 700;
 
 void
-World::change (const std::string &key, const std::string *value)
+World::change_key (const std::string &key, const std::string *value)
 {
   revision_++;
   if (value != nullptr)
-    store[key] = Item{ *value, revision_ };
+    store[key] = StoreItem{ *value, revision_ };
   else
     store.erase (key);
   history_.emplace_back (revision_, key);
 }
 
 void
-World::put (const std::string &key, const std::string &value)
+World::put_key (const std::string &key, const std::string &value)
 {
-  change (key, &value);
+  change_key (key, &value);
 }
 
 void
-World::remove (const std::string &key)
+World::remove_key (const std::string &key)
 {
-  change (key, nullptr);
+  change_key (key, nullptr);
 }
 
 void
@@ -42,63 +42,67 @@
 
   cpu_limit_ = cpu_limit;
 
-  put ("op/config",
-       "{\"version\":" + std::to_string (version)
-           + ",\"routes\":[{\"name\":\"q\",\"host\":\"h\",\"prefix\":\"/q/\","
-             "\"service\":\"pool\",\"attempts\":3,\"priority\":1,"
-             "\"slack_factor\":3.0,\"target_latency_ms\":500},"
-             "{\"name\":\"u\",\"host\":\"h\",\"prefix\":\"/u/\","
-             "\"service\":\"pool\",\"attempts\":3,\"priority\":0,"
-             "\"slack_factor\":2.0,\"target_latency_ms\":200,\"advice\":"
-             "{\"decision_ms\":8.0,\"interval_ms\":0.2,\"validity_ms\":2000}}]"
-             ",\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k\"],\"weight\":50"
-             ",\"cap\":{\"cpu\":"
-           + limit + ",\"mem_mb\":0,\"gpu\":0}}]}");
+  put_key (
+      "op/config",
+      "{\"version\":" + std::to_string (version)
+          + ",\"routes\":[{\"name\":\"q\",\"host\":\"h\",\"prefix\":\"/q/\","
+            "\"service\":\"pool\",\"attempts\":3,\"priority\":1,"
+            "\"slack_factor\":3.0,\"target_latency_ms\":500},"
+            "{\"name\":\"u\",\"host\":\"h\",\"prefix\":\"/u/\","
+            "\"service\":\"pool\",\"attempts\":3,\"priority\":0,"
+            "\"slack_factor\":2.0,\"target_latency_ms\":200,\"advice\":"
+            "{\"decision_ms\":8.0,\"interval_ms\":0.2,\"validity_ms\":2000}}]"
+            ",\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k\"],\"weight\":50"
+            ",\"cap\":{\"cpu\":"
+          + limit + ",\"mem_mb\":0,\"gpu\":0}}]}");
 }
 
 void
-World::register_worker (Worker &worker, bool draining)
+World::register_instance (Instance &instance, bool draining)
 {
-  put ("servers/" + worker.id,
-       "{\"service\":\"pool\",\"addr\":\"" + worker.address + "\",\"zone\":\""
-           + worker.zone + "\",\"state\":\""
-           + (draining ? "draining" : "ready")
-           + "\",\"capacity\":{\"cpu\":4000,\"mem_mb\":4000,\"gpu\":0},"
-             "\"labels\":[\"a\",\"r1\"],\"born\":"
-           + std::to_string (worker.incarnation) + "}");
+  put_key ("servers/" + instance.id,
+           "{\"service\":\"pool\",\"addr\":\"" + instance.address
+               + "\",\"zone\":\"" + instance.zone + "\",\"state\":\""
+               + (draining ? "draining" : "ready")
+               + "\",\"capacity\":{\"cpu\":4000,\"mem_mb\":4000,\"gpu\":0},"
+                 "\"labels\":[\"a\",\"r1\"],\"born\":"
+               + std::to_string (instance.started_at) + "}");
 }
 
 bool
-World::store_reached (const Node &node) const
+World::can_reach_store (const Node &node) const
 {
-  return !faults.store_down && !node.store_cut && !node.cut;
+  return !faults.is_store_down && !node.is_store_unreachable
+         && !node.is_isolated;
 }
 
 uint64_t
-World::begin_call (Node &node, std::function<void ()> lost)
+World::begin_call (Node &node, std::function<void ()> on_abort)
 {
   uint64_t call = next_call_++;
 
-  node.calls[call] = std::move (lost);
+  node.pending_calls[call] = std::move (on_abort);
   return call;
 }
 
 bool
-World::end_call (Node &node, uint64_t life, uint64_t call)
+World::end_call (Node &node, uint64_t incarnation, uint64_t call)
 {
-  return node.life == life && node.calls.erase (call) > 0;
+  return node.incarnation == incarnation
+         && node.pending_calls.erase (call) > 0;
 }
 
 void
-World::store_answer (Node &node, rst_store_answer *answer, rst_store_done done,
-                     void *data, Millis delay, bool lost)
+World::answer_store_call (Node &node, rst_store_answer *answer,
+                          rst_store_done done, void *data, Millis delay,
+                          bool lost)
 {
-  uint64_t life = node.life;
+  uint64_t incarnation = node.incarnation;
   uint64_t call = begin_call (node, [done, data] {
-    rst_store_answer *none = rst_store_answer_new ();
+    rst_store_answer *no_answer = rst_store_answer_new ();
 
-    none->result = RST_RESULT_UNKNOWN;
-    done (none, data);
+    no_answer->result = RST_RESULT_UNKNOWN;
+    done (no_answer, data);
   });
 
   if (lost)
@@ -107,19 +111,21 @@
       answer = rst_store_answer_new ();
       answer->result = RST_RESULT_UNKNOWN;
     }
-  at (now () + delay, [this, &node, life, call, answer, done, data] {
-    if (!end_call (node, life, call))
-      {
-        rst_store_answer_free (answer);
-        return;
-      }
-    done (answer, data);
-    tick (node);
-  });
+  schedule (now () + delay,
+            [this, &node, incarnation, call, answer, done, data] {
+              if (!end_call (node, incarnation, call))
+                {
+                  rst_store_answer_free (answer);
+                  return;
+                }
+              done (answer, data);
+              run_node (node);
+            });
 }
 
 static void
-add_item (rst_store_answer *answer, const std::string &key, const Item *item)
+add_item (rst_store_answer *answer, const std::string &key,
+          const StoreItem *item)
 {
   rst_store_item *out = g_new0 (rst_store_item, 1);
 
@@ -147,9 +153,10 @@
   answer->result = found == store.end () ? RST_RESULT_ABSENT : RST_RESULT_OK;
   if (found != store.end ())
     add_item (answer, key, &found->second);
-  store_answer (node, answer, done, data,
-                store_reached (node) ? faults.store_delay : get_timeout,
-                !store_reached (node));
+  answer_store_call (node, answer, done, data,
+                     can_reach_store (node) ? faults.store_delay_ms
+                                            : get_timeout_ms,
+                     !can_reach_store (node));
 }
 
 void
@@ -171,35 +178,36 @@
         }
       add_item (answer, entry.first, &entry.second);
     }
-  store_answer (node, answer, done, data,
-                store_reached (node) ? faults.store_delay : range_timeout,
-                !store_reached (node));
+  answer_store_call (node, answer, done, data,
+                     can_reach_store (node) ? faults.store_delay_ms
+                                            : range_timeout_ms,
+                     !can_reach_store (node));
 }
 
 void
 World::store_watch (Node &node, const std::string &prefix, int64_t after,
-                    Millis wait, rst_store_done done, void *data)
+                    Millis wait_ms, rst_store_done done, void *data)
 {
-  uint64_t life = node.life;
+  uint64_t incarnation = node.incarnation;
   uint64_t call = begin_call (node, [done, data] {
-    rst_store_answer *none = rst_store_answer_new ();
+    rst_store_answer *no_answer = rst_store_answer_new ();
 
-    none->result = RST_RESULT_UNKNOWN;
-    done (none, data);
+    no_answer->result = RST_RESULT_UNKNOWN;
+    done (no_answer, data);
   });
 
   // One look when the wait is half over stands for a watch.
-  at (now () + std::min<Millis> (wait, 50), [=, this, &node] {
+  schedule (now () + std::min<Millis> (wait_ms, 50), [=, this, &node] {
     rst_store_answer *answer = rst_store_answer_new ();
     std::set<std::string> changed;
 
-    if (!end_call (node, life, call))
+    if (!end_call (node, incarnation, call))
       {
         rst_store_answer_free (answer);
         return;
       }
     answer->revision = revision_;
-    if (!store_reached (node))
+    if (!can_reach_store (node))
       answer->result = RST_RESULT_UNKNOWN;
     for (auto &entry : history_)
       if (entry.first > after
@@ -213,7 +221,7 @@
                   found == store.end () ? nullptr : &found->second);
       }
     done (answer, data);
-    tick (node);
+    run_node (node);
   });
 }
 
@@ -223,11 +231,11 @@
   std::string value;
   int64_t expected;
   bool remove;
-  bool write;
+  bool has_value;
 };
 
 static bool
-conditions_hold (const std::map<std::string, Item> &store,
+conditions_hold (const std::map<std::string, StoreItem> &store,
                  const std::vector<Write> &writes)
 {
   for (auto &write : writes)
@@ -246,9 +254,9 @@
                      rst_store_done done, void *data)
 {
   std::vector<Write> copy;
-  bool reached = store_reached (node);
-  bool lost = chance () < faults.lose_commit;
-  bool late = chance () < faults.late_commit;
+  bool reached = can_reach_store (node);
+  bool lost = draw_unit () < faults.lose_commit_probability;
+  bool late = draw_unit () < faults.late_commit_probability;
 
   for (int i = 0; i < count; i++)
     copy.push_back (Write{
@@ -256,23 +264,23 @@
         std::string ((const char *)writes[i].value, writes[i].length),
         writes[i].expected, writes[i].remove, writes[i].value != nullptr });
   auto apply = [this, copy] (rst_store_answer *answer) {
-    bool hold = conditions_hold (store, copy);
+    bool succeeds = conditions_hold (store, copy);
 
     if (answer != nullptr)
-      answer->result = hold ? RST_RESULT_OK : RST_RESULT_CONFLICT;
+      answer->result = succeeds ? RST_RESULT_OK : RST_RESULT_CONFLICT;
     for (auto &write : copy)
       {
-        if (hold && write.remove)
-          change (write.key, nullptr);
-        else if (hold && write.write)
-          change (write.key, &write.value);
-        if (answer != nullptr && !hold && write.expected >= 0
+        if (succeeds && write.remove)
+          change_key (write.key, nullptr);
+        else if (succeeds && write.has_value)
+          change_key (write.key, &write.value);
+        if (answer != nullptr && !succeeds && write.expected >= 0
             && store.count (write.key) > 0)
           add_item (answer, write.key, &store[write.key]);
       }
     // All writes of one change share the revision of the last.
     for (auto &write : copy)
-      if (hold && write.write)
+      if (succeeds && write.has_value)
         store[write.key].revision = revision_;
     if (answer != nullptr)
       answer->revision = revision_;
@@ -280,13 +288,13 @@
   rst_store_answer *answer = rst_store_answer_new ();
 
   if (reached && late)
-    at (now () + 1000 + below (4000), [apply] { apply (nullptr); });
+    schedule (now () + 1000 + draw_below (4000), [apply] { apply (nullptr); });
   else if (reached)
     apply (answer);
-  store_answer (node, answer, done, data,
-                reached && !lost && !late ? faults.store_delay
-                                          : commit_timeout,
-                !reached || lost || late);
+  answer_store_call (node, answer, done, data,
+                     reached && !lost && !late ? faults.store_delay_ms
+                                               : commit_timeout_ms,
+                     !reached || lost || late);
 }
 
 } // namespace cell
--- a/test/cell/world.cc
+++ b/test/cell/world.cc
@@ -10,20 +10,20 @@
 static Millis world_now;
 
 static rst_ms
-now_callback ()
+read_now ()
 {
   return world_now;
 }
 
 static int64_t
-unix_callback ()
+read_unix_now ()
 {
   return 1700000000000 + world_now;
 }
 
-static const Millis link_delay = 1;
-static const Millis silent_after = 1000;
-static const Millis worker_tick = 20;
+static const Millis link_delay_ms = 1;
+static const Millis silence_timeout_ms = 1000;
+static const Millis instance_tick_ms = 20;
 
 Millis
 World::now () const
@@ -31,7 +31,7 @@
   return world_now;
 }
 
-static const int64_t customer_limit = 12000;
+static const int64_t customer_cpu_limit_milli = 12000;
 
 World::World (uint64_t seed, int node_count, int worker_count) : random (seed)
 {
@@ -40,22 +40,22 @@
   world_now = 1000;
   for (int i = 0; i < worker_count; i++)
     {
-      auto worker = std::make_unique<Worker> ();
-
-      worker->id = "i-" + std::to_string (i);
-      worker->address = "10.0.0." + std::to_string (i) + ":80";
-      worker->zone = zones[i % 3];
-      worker->incarnation = 1 + i;
-      worker->clock_skew = 100000 * (i + 1);
-      workers.push_back (std::move (worker));
+      auto instance = std::make_unique<Instance> ();
+
+      instance->id = "i-" + std::to_string (i);
+      instance->address = "10.0.0." + std::to_string (i) + ":80";
+      instance->zone = zones[i % 3];
+      instance->started_at = 1 + i;
+      instance->clock_offset = 100000 * (i + 1);
+      instances.push_back (std::move (instance));
     }
-  for (auto &worker : workers)
+  for (auto &instance : instances)
     {
-      register_worker (*worker);
-      tick_worker (*worker);
+      register_instance (*instance);
+      tick_instance (*instance);
     }
   // Every fourth seed has a limit below the room of all instances.
-  configure (1, seed % 4 == 2 ? customer_limit : 0);
+  configure (1, seed % 4 == 2 ? customer_cpu_limit_milli : 0);
   for (int i = 0; i < node_count; i++)
     {
       auto node = std::make_unique<Node> ();
@@ -67,30 +67,30 @@
       nodes.push_back (std::move (node));
       start_node (*nodes.back ());
     }
-  at (world_now + 50, [this] { entry_connect (); });
+  schedule (world_now + 50, [this] { connect_entry (); });
 }
 
 World::~World ()
 {
   for (auto &node : nodes)
-    if (node->node != nullptr)
+    if (node->cell_node != nullptr)
       kill_node (*node, false);
-  for (auto &call : entry_calls_)
-    rst_jobdesc_destroy (call.second.desc);
+  for (auto &request : entry_requests_)
+    rst_jobdesc_destroy (request.second.desc);
   for (rst_jobdesc *desc : descs_)
     rst_jobdesc_destroy (desc);
 }
 
 void
-World::at (Millis time, std::function<void ()> action)
+World::schedule (Millis time, std::function<void ()> action)
 {
   events_.push (Event{ time, sequence_++, std::move (action) });
 }
 
 void
-World::breach (const std::string &text)
+World::report_violation (const std::string &text)
 {
-  breaches.push_back (std::to_string (world_now) + ": " + text);
+  violations.push_back (std::to_string (world_now) + ": " + text);
 }
 
 void
@@ -120,7 +120,7 @@
 {
   rst_cell_node_config config = {};
 
-  node.life++;
+  node.incarnation++;
   node.backend.userdata = &node;
   node.backend.store_get
       = [] (void *u, const char *key, rst_store_done done, void *data) {
@@ -132,9 +132,9 @@
     as_node (u).world->store_range (as_node (u), prefix, after, done, data);
   };
   node.backend.store_watch
-      = [] (void *u, const char *prefix, int64_t after, int64_t wait,
+      = [] (void *u, const char *prefix, int64_t after, int64_t wait_ms,
             rst_store_done done, void *data) {
-          as_node (u).world->store_watch (as_node (u), prefix, after, wait,
+          as_node (u).world->store_watch (as_node (u), prefix, after, wait_ms,
                                           done, data);
         };
   node.backend.store_commit = [] (void *u, const rst_store_write *writes,
@@ -143,100 +143,104 @@
   };
   node.backend.hold = [] (void *u, const rst_instance_call *call,
                           rst_instance_done done, void *data) {
-    as_node (u).world->order (as_node (u), 0, *call, done, data);
+    as_node (u).world->call_instance (as_node (u), 0, *call, done, data);
   };
   node.backend.start = [] (void *u, const rst_instance_call *call,
                            rst_instance_done done, void *data) {
-    as_node (u).world->order (as_node (u), 1, *call, done, data);
+    as_node (u).world->call_instance (as_node (u), 1, *call, done, data);
   };
   node.backend.stop = [] (void *u, const rst_instance_call *call,
                           rst_instance_done done, void *data) {
-    as_node (u).world->order (as_node (u), 2, *call, done, data);
+    as_node (u).world->call_instance (as_node (u), 2, *call, done, data);
   };
   node.backend.advise = [] (void *u, const char *step, const char *const *ids,
                             int count, rst_advice_done done, void *data) {
     (void)step;
-    as_node (u).world->advise (as_node (u), ids, count, done, data);
+    as_node (u).world->request_advice (as_node (u), ids, count, done, data);
   };
   config.backend = &node.backend;
-  config.now = now_callback;
-  config.unix_now = unix_callback;
+  config.now = read_now;
+  config.unix_now = read_unix_now;
   config.connect = [] (void *u, const char *address) {
-    return as_node (u).world->connect (&as_node (u), address);
+    return as_node (u).world->open_link (&as_node (u), address);
+  };
+  config.close = [] (void *u, uint64_t link) {
+    as_node (u).world->close_link (link, true);
   };
-  config.close
-      = [] (void *u, uint64_t link) { as_node (u).world->close (link, true); };
   config.send = [] (void *u, uint64_t link, const void *data, size_t length) {
-    as_node (u).world->send (link, std::string ((const char *)data, length));
+    as_node (u).world->send_frame (link,
+                                   std::string ((const char *)data, length));
   };
   config.userdata = &node;
   config.name = node.name.c_str ();
   config.zone = node.zone.c_str ();
   config.address = node.address.c_str ();
   config.timing = { 5000, 6000, 120000, 250 };
-  config.jitter_ms = below (120);
-  node.node = rst_cell_node_create (&config);
-  tick (node);
+  config.jitter_ms = draw_below (120);
+  node.cell_node = rst_cell_node_create (&config);
+  run_node (node);
 }
 
 void
-World::tick (Node &node)
+World::run_node (Node &node)
 {
-  uint64_t life = node.life;
+  uint64_t incarnation = node.incarnation;
 
-  if (node.node == nullptr)
+  if (node.cell_node == nullptr)
     return;
-  if (node.frozen_until > world_now)
+  if (node.paused_until > world_now)
     {
-      at (node.frozen_until, [this, &node, life] {
-        if (node.life == life)
-          tick (node);
+      schedule (node.paused_until, [this, &node, incarnation] {
+        if (node.incarnation == incarnation)
+          run_node (node);
       });
       return;
     }
-  Millis wake = rst_cell_node_run (node.node);
+  Millis next_run = rst_cell_node_run (node.cell_node);
 
-  at (std::max (wake, world_now + 1), [this, &node, life, wake] {
-    if (node.life == life)
-      tick (node);
-  });
+  schedule (std::max (next_run, world_now + 1),
+            [this, &node, incarnation, next_run] {
+              if (node.incarnation == incarnation)
+                run_node (node);
+            });
 }
 
 void
 World::kill_node (Node &node, bool silent)
 {
-  Millis delay = silent ? silent_after : link_delay;
+  Millis delay = silent ? silence_timeout_ms : link_delay_ms;
 
-  for (uint64_t end : node.links)
-    at (world_now + delay, [this, end] { close (end, false); });
-  node.links.clear ();
-  node.life++;
+  for (uint64_t end : node.link_ends)
+    schedule (world_now + delay, [this, end] { close_link (end, false); });
+  node.link_ends.clear ();
+  node.incarnation++;
   // Calls under way end for the sake of their memory only.
-  rst_cell_node *dead = node.node;
+  rst_cell_node *killed = node.cell_node;
 
-  node.node = nullptr;
-  end_calls (node);
-  rst_cell_node_destroy (dead);
-  end_calls (node);
+  node.cell_node = nullptr;
+  abort_calls (node);
+  rst_cell_node_destroy (killed);
+  abort_calls (node);
 }
 
 void
-World::end_calls (Node &node)
+World::abort_calls (Node &node)
 {
-  while (!node.calls.empty ())
+  while (!node.pending_calls.empty ())
     {
-      auto lost = node.calls.begin ()->second;
+      auto on_abort = node.pending_calls.begin ()->second;
 
-      node.calls.erase (node.calls.begin ());
-      lost ();
+      node.pending_calls.erase (node.pending_calls.begin ());
+      on_abort ();
     }
 }
 
 Node *
-World::planner ()
+World::find_planner ()
 {
   for (auto &node : nodes)
-    if (node->node != nullptr && rst_cell_node_is_planner (node->node))
+    if (node->cell_node != nullptr
+        && rst_cell_node_is_planner (node->cell_node))
       return node.get ();
   return nullptr;
 }
@@ -244,21 +248,22 @@
 // ---- links; an even number is the opener's end, the odd one the other
 
 uint64_t
-World::connect (Node *from, const std::string &address)
+World::open_link (Node *from, const std::string &address)
 {
   uint64_t end = 2 * next_link_++;
   Link &link = links_[end / 2];
 
   link.from = from;
-  link.from_life = from != nullptr ? from->life : 0;
+  link.from_incarnation = from != nullptr ? from->incarnation : 0;
   if (from != nullptr)
-    from->links.insert (end);
-  at (world_now + link_delay, [this, end, address] { open (end, address); });
+    from->link_ends.insert (end);
+  schedule (world_now + link_delay_ms,
+            [this, end, address] { accept_link (end, address); });
   return end;
 }
 
 void
-World::open (uint64_t end, const std::string &address)
+World::accept_link (uint64_t end, const std::string &address)
 {
   auto found = links_.find (end / 2);
 
@@ -270,44 +275,48 @@
     if (node->address == address)
       link.to = node.get ();
   if (link.to != link.from && link.to != nullptr
-      && (link.to->cut || (link.from != nullptr && link.from->cut)))
+      && (link.to->is_isolated
+          || (link.from != nullptr && link.from->is_isolated)))
     {
-      at (world_now + silent_after, [this, end] { close (end, false); });
+      schedule (world_now + silence_timeout_ms,
+                [this, end] { close_link (end, false); });
       return;
     }
-  if (link.to == nullptr || link.to->node == nullptr)
+  if (link.to == nullptr || link.to->cell_node == nullptr)
     {
-      close (end, false);
+      close_link (end, false);
       return;
     }
-  link.to_life = link.to->life;
-  link.to->links.insert (end + 1);
-  link.open = true;
+  link.to_incarnation = link.to->incarnation;
+  link.to->link_ends.insert (end + 1);
+  link.is_open = true;
   if (link.from != nullptr)
-    deliver (link.from, link.from_life, RST_NET_OPENED, end, "");
+    deliver_event (link.from, link.from_incarnation, RST_NET_OPENED, end, "");
   else
-    entry_opened ();
+    handle_entry_opened ();
 }
 
 void
-World::deliver (Node *node, uint64_t life, rst_net_event event, uint64_t end,
-                const std::string &data)
+World::deliver_event (Node *node, uint64_t incarnation, rst_net_event event,
+                      uint64_t end, const std::string &data)
 {
-  if (node == nullptr || node->life != life || node->node == nullptr)
+  if (node == nullptr || node->incarnation != incarnation
+      || node->cell_node == nullptr)
     return;
-  if (node->frozen_until > world_now)
+  if (node->paused_until > world_now)
     {
-      at (node->frozen_until,
-          [=, this] { deliver (node, life, event, end, data); });
+      schedule (node->paused_until, [=, this] {
+        deliver_event (node, incarnation, event, end, data);
+      });
       return;
     }
-  rst_cell_node_handle_link_event (node->node, event, end, data.data (),
+  rst_cell_node_handle_link_event (node->cell_node, event, end, data.data (),
                                    data.size ());
-  tick (*node);
+  run_node (*node);
 }
 
 void
-World::close (uint64_t end, bool by_owner)
+World::close_link (uint64_t end, bool by_owner)
 {
   auto found = links_.find (end / 2);
 
@@ -320,70 +329,74 @@
   if (from_end == entry_link_)
     {
       entry_link_ = 0;
-      entry_serving_ = false;
-      for (auto &call : entry_calls_)
-        call.second.sent = false;
+      planner_is_serving_ = false;
+      for (auto &request : entry_requests_)
+        request.second.sent = false;
     }
-  for (uint64_t at_end : { from_end, from_end + 1 })
+  for (uint64_t link_end : { from_end, from_end + 1 })
     {
-      Node *node = at_end == from_end ? link.from : link.to;
-      uint64_t life = at_end == from_end ? link.from_life : link.to_life;
+      Node *node = link_end == from_end ? link.from : link.to;
+      uint64_t incarnation
+          = link_end == from_end ? link.from_incarnation : link.to_incarnation;
 
-      if (node == nullptr || node->life != life)
+      if (node == nullptr || node->incarnation != incarnation)
         continue;
-      node->links.erase (at_end);
-      if (by_owner && at_end == end)
+      node->link_ends.erase (link_end);
+      if (by_owner && link_end == end)
         continue;
-      at (world_now + link_delay,
-          [=, this] { deliver (node, life, RST_NET_CLOSED, at_end, ""); });
+      schedule (world_now + link_delay_ms, [=, this] {
+        deliver_event (node, incarnation, RST_NET_CLOSED, link_end, "");
+      });
     }
 }
 
 void
-World::send (uint64_t end, const std::string &data)
+World::send_frame (uint64_t end, const std::string &data)
 {
-  at (world_now + link_delay, [this, end, data] {
+  schedule (world_now + link_delay_ms, [this, end, data] {
     auto found = links_.find (end / 2);
 
-    if (found == links_.end () || !found->second.open)
+    if (found == links_.end () || !found->second.is_open)
       return;
     const Link &link = found->second;
     Node *to = end % 2 == 0 ? link.to : link.from;
     Node *from = end % 2 == 0 ? link.from : link.to;
 
     if (to != from
-        && ((from != nullptr && from->cut) || (to != nullptr && to->cut)))
+        && ((from != nullptr && from->is_isolated)
+            || (to != nullptr && to->is_isolated)))
       return;
     if (to == nullptr)
-      entry_frame (data);
+      handle_entry_frame (data);
     else
-      deliver (to, end % 2 == 0 ? link.to_life : link.from_life, RST_NET_FRAME,
-               end ^ 1, data);
+      deliver_event (
+          to, end % 2 == 0 ? link.to_incarnation : link.from_incarnation,
+          RST_NET_FRAME, end ^ 1, data);
   });
 }
 
 void
-World::set_cut (Node &node, bool cut)
+World::set_isolated (Node &node, bool isolated)
 {
-  node.cut = cut;
-  if (!cut)
+  node.is_isolated = isolated;
+  if (!isolated)
     return;
-  for (uint64_t end : node.links)
-    at (world_now + silent_after, [this, &node, end] {
+  for (uint64_t end : node.link_ends)
+    schedule (world_now + silence_timeout_ms, [this, &node, end] {
       auto found = links_.find (end / 2);
 
-      if (node.cut && found != links_.end ()
+      if (node.is_isolated && found != links_.end ()
           && found->second.from != found->second.to)
-        close (end, false);
+        close_link (end, false);
     });
 }
 
 // ---- callers
 
 void
-World::entry_connect ()
+World::connect_entry ()
 {
-  at (world_now + 100, [this] { entry_connect (); });
+  schedule (world_now + 100, [this] { connect_entry (); });
   auto found = store.find (RST_PLANNER_RECORD_KEY);
   rst_planner_record record;
 
@@ -394,13 +407,13 @@
   if (entry_link_ != 0 && entry_epoch_ >= record.epoch)
     return;
   if (entry_link_ != 0)
-    close (entry_link_, true);
+    close_link (entry_link_, true);
   entry_epoch_ = record.epoch;
-  entry_link_ = connect (nullptr, record.address);
+  entry_link_ = open_link (nullptr, record.address);
 }
 
 void
-World::entry_opened ()
+World::handle_entry_opened ()
 {
   rst_pack pack;
 
@@ -409,30 +422,31 @@
   rst_pack_int (&pack, RST_ROLE_ENTRY);
   rst_pack_text (&pack, "entry");
   rst_pack_text (&pack, "a");
-  send (entry_link_, std::string (pack.buffer.data, pack.buffer.size));
+  send_frame (entry_link_, std::string (pack.buffer.data, pack.buffer.size));
   rst_pack_clear (&pack);
 }
 
 void
-World::entry_send (uint64_t number)
+World::send_request (uint64_t number)
 {
-  Call &call = entry_calls_[number];
+  CallerRequest &request = entry_requests_[number];
   rst_pack pack;
-  std::string path = (jobs[call.id].queue == "u" ? "/u/" : "/q/") + call.id;
+  std::string path
+      = (jobs[request.id].queue == "u" ? "/u/" : "/q/") + request.id;
 
-  if (!entry_serving_ || call.sent)
+  if (!planner_is_serving_ || request.sent)
     return;
-  call.sent = true;
-  rst_pack_init (&pack, call.desc != nullptr ? 7 : 6);
+  request.sent = true;
+  rst_pack_init (&pack, request.desc != nullptr ? 7 : 6);
   rst_pack_int (&pack, RST_MSG_CALL);
   rst_pack_int (&pack, (int64_t)number);
-  rst_pack_int (&pack, call.operation);
+  rst_pack_int (&pack, request.operation);
   rst_pack_text (&pack, "h");
   rst_pack_text (&pack, path.c_str ());
   rst_pack_text (&pack, "k");
-  if (call.desc != nullptr)
-    rst_jobdesc_pack (&pack, call.desc);
-  send (entry_link_, std::string (pack.buffer.data, pack.buffer.size));
+  if (request.desc != nullptr)
+    rst_jobdesc_pack (&pack, request.desc);
+  send_frame (entry_link_, std::string (pack.buffer.data, pack.buffer.size));
   rst_pack_clear (&pack);
 }
 
@@ -446,11 +460,11 @@
 
   for (int i = 0; i < job.desc->step_count; i++)
     tasks += (size_t)job.desc->steps[i].count;
-  return job.done.size () == tasks;
+  return job.done_tasks.size () == tasks;
 }
 
 void
-World::entry_frame (const std::string &data)
+World::handle_entry_frame (const std::string &data)
 {
   msgpack_unpacked unpacked;
   rst_reader reader;
@@ -461,43 +475,44 @@
   if (kind == RST_MSG_WELCOME)
     {
       rst_reader_read_int (&reader);
-      entry_serving_ = rst_reader_read_int (&reader) != 0;
-      for (auto &call : entry_calls_)
-        entry_send (call.first);
+      planner_is_serving_ = rst_reader_read_int (&reader) != 0;
+      for (auto &request : entry_requests_)
+        send_request (request.first);
     }
   else if (kind == RST_MSG_REPLY)
     {
       uint64_t number = (uint64_t)rst_reader_read_int (&reader);
       int64_t outcome = rst_reader_read_int (&reader);
       int64_t state = rst_reader_read_int (&reader);
-      auto found = entry_calls_.find (number);
+      auto found = entry_requests_.find (number);
 
-      if (found != entry_calls_.end ())
+      if (found != entry_requests_.end ())
         {
-          Call call = found->second;
-          Job &job = jobs[call.id];
+          CallerRequest request = found->second;
+          Job &job = jobs[request.id];
 
-          entry_calls_.erase (found);
-          rst_jobdesc_destroy (call.desc);
-          if (call.operation == RST_OPERATION_SUBMIT
+          entry_requests_.erase (found);
+          rst_jobdesc_destroy (request.desc);
+          if (request.operation == RST_OPERATION_SUBMIT
               && outcome == RST_OUTCOME_OK)
-            job.accepted = true;
-          if (call.operation == RST_OPERATION_CANCEL
+            job.is_accepted = true;
+          if (request.operation == RST_OPERATION_CANCEL
               && outcome == RST_OUTCOME_OK && job.cancelled_at == 0)
             job.cancelled_at = world_now;
-          if (job.accepted && outcome == RST_OUTCOME_NO_JOB)
-            breach ("LOST " + call.id + " is not known");
-          if (call.operation == RST_OPERATION_READ
+          if (job.is_accepted && outcome == RST_OUTCOME_NO_JOB)
+            report_violation ("LOST " + request.id + " is not known");
+          if (request.operation == RST_OPERATION_READ
               && outcome == RST_OUTCOME_STATE && state >= RST_JOB_COMPLETED)
             {
-              if (shown_over_.insert (call.id).second
+              if (reported_ended_.insert (request.id).second
                   && state == RST_JOB_COMPLETED)
                 completed_++;
               if (state == RST_JOB_COMPLETED && !all_done (job))
-                breach ("MIXED " + call.id + " is shown as "
-                        + state_names[state]);
-              if (state == RST_JOB_FAILED && !job.over)
-                breach ("LOST " + call.id + " is shown as failed");
+                report_violation ("MIXED " + request.id + " is shown as "
+                                  + state_names[state]);
+              if (state == RST_JOB_FAILED && !job.may_fail)
+                report_violation ("LOST " + request.id
+                                  + " is shown as failed");
             }
         }
     }
@@ -505,12 +520,13 @@
 }
 
 void
-World::call (const std::string &id, rst_operation operation, rst_jobdesc *desc)
+World::make_request (const std::string &id, rst_operation operation,
+                     rst_jobdesc *desc)
 {
-  uint64_t number = next_number_++;
+  uint64_t number = next_request_number_++;
 
-  entry_calls_[number] = Call{ id, operation, desc, false };
-  entry_send (number);
+  entry_requests_[number] = CallerRequest{ id, operation, desc, false };
+  send_request (number);
 }
 
 void
@@ -530,7 +546,7 @@
   rst_pack_init (&pack, 1);
   rst_jobdesc_pack (&pack, desc);
   rst_reader_open (&reader, &unpacked, pack.buffer.data, pack.buffer.size);
-  call (id, RST_OPERATION_SUBMIT, rst_jobdesc_read (&reader));
+  make_request (id, RST_OPERATION_SUBMIT, rst_jobdesc_read (&reader));
   msgpack_unpacked_destroy (&unpacked);
   rst_pack_clear (&pack);
 }
@@ -538,19 +554,19 @@
 void
 World::cancel (const std::string &id)
 {
-  call (id, RST_OPERATION_CANCEL, nullptr);
+  make_request (id, RST_OPERATION_CANCEL, nullptr);
 }
 
 void
 World::read (const std::string &id)
 {
-  call (id, RST_OPERATION_READ, nullptr);
+  make_request (id, RST_OPERATION_READ, nullptr);
 }
 
 int
-World::known_over (const std::string &id) const
+World::is_reported_ended (const std::string &id) const
 {
-  return (int)shown_over_.count (id);
+  return (int)reported_ended_.count (id);
 }
 
 } // namespace cell
--- a/test/cell/world.h
+++ b/test/cell/world.h
@@ -30,16 +30,16 @@
 // What may go wrong, as probabilities or switches.
 struct Faults
 {
-  double lose_answer = 0.0; // an instance's answer is lost
-  double late_order = 0.0;  // an order is carried out seconds later
-  double fail_run = 0.05;   // a run fails
-  double lose_commit = 0.0; // the store's answer is lost
-  double late_commit = 0.0; // and the change is made seconds later
-  bool store_down = false;  // the store answers nobody
-  Millis store_delay = 4;   // time of a call to the store
+  double lose_answer_probability = 0.0; // an instance's answer is lost
+  double late_order_probability = 0.0; // an order is carried out seconds later
+  double fail_run_probability = 0.05;  // a run fails
+  double lose_commit_probability = 0.0; // the store's answer is lost
+  double late_commit_probability = 0.0; // and the change is made seconds later
+  bool is_store_down = false;           // the store answers nobody
+  Millis store_delay_ms = 4;            // time of a call to the store
 };
 
-struct Item
+struct StoreItem
 {
   std::string value;
   int64_t revision = 0;
@@ -50,13 +50,13 @@
   std::string task;
   int attempt = 0;
   Millis ends_at = 0;
-  bool fails = false;
-  bool stopping = false;
-  int count = 0; // members of its gang; 0 for none
-  Millis alone_at = 0;
+  bool will_fail = false;
+  bool is_stopping = false;
+  int gang_size = 0; // members of its gang; 0 for none
+  Millis gang_deadline = 0;
 };
 
-struct End
+struct RunEnd
 {
   int64_t number;
   std::string task;
@@ -65,49 +65,50 @@
 };
 
 // An order as it travels.
-struct OrderCopy
+struct Order
 {
   int kind = 0; // 0 look, 1 start, 2 stop
   std::string task;
   int attempt = 0;
-  int64_t fence = 0;
-  Millis deadline = 0;
+  int64_t fencing_token = 0;
+  Millis lease_expires_at = 0;
   int64_t last_seen = 0;
-  int life = 0;
+  int restarts = 0;
   int64_t incarnation = 0;
 };
 
-struct Worker
+struct Instance
 {
   std::string id;
   std::string address;
   std::string zone;
-  bool up = true;
-  bool cut = false;
-  int lives = 0;
-  int64_t incarnation = 0;
-  int64_t fence = 0;
-  int64_t next_end = 1;
-  Millis clock_skew = 0;
-  Millis lease = 0;
+  bool is_up = true;
+  bool is_unreachable = false;
+  int restarts = 0;
+  int64_t started_at = 0;
+  int64_t fencing_token = 0;
+  int64_t next_end_number = 1;
+  Millis clock_offset = 0;
+  Millis lease_expires_at = 0;
   std::map<std::string, Run> runs;
-  std::map<std::string, int> highest;
-  std::vector<End> ends;
-  std::vector<std::function<void ()> > waiting;
-  std::set<std::string> started_done; // tasks whose done end it listed
+  std::map<std::string, int> highest_attempts;
+  std::vector<RunEnd> ends;
+  std::vector<std::function<void ()> > pending_polls;
+  std::set<std::string> listed_done; // tasks whose done end it listed
 };
 
 struct Job
 {
   rst_jobdesc *desc = nullptr;
   std::string queue;
-  bool accepted = false;
+  bool is_accepted = false;
   Millis cancelled_at = 0;
-  std::set<std::string> done;              // tasks that have ended done
-  std::map<std::string, int> failed;       // noted failed runs of a task
-  std::map<std::string, int> ended_failed; // failed runs, noted or not
-  std::set<std::string> noted;             // tasks whose done end was noted
-  bool over = false;                       // failed rightly
+  std::set<std::string> done_tasks; // tasks that have ended done
+  std::map<std::string, int>
+      acknowledged_failures;                // noted failed runs of a task
+  std::map<std::string, int> failures;      // failed runs, noted or not
+  std::set<std::string> acknowledged_tasks; // tasks whose done end was noted
+  bool may_fail = false;                    // failed rightly
 };
 
 class World;
@@ -119,66 +120,66 @@
   std::string zone;
   std::string address;
   rst_backend backend = {};
-  rst_cell_node *node = nullptr;
-  bool store_cut = false;
-  bool cut = false;
-  std::set<uint64_t> links;
-  std::map<uint64_t, std::function<void ()> > calls;
-  uint64_t life = 0;
-  Millis frozen_until = 0;
+  rst_cell_node *cell_node = nullptr;
+  bool is_store_unreachable = false;
+  bool is_isolated = false;
+  std::set<uint64_t> link_ends;
+  std::map<uint64_t, std::function<void ()> > pending_calls;
+  uint64_t incarnation = 0;
+  Millis paused_until = 0;
 };
 
 struct Link
 {
   Node *from = nullptr; // nullptr for the callers' entry
   Node *to = nullptr;
-  uint64_t from_life = 0;
-  uint64_t to_life = 0;
-  bool open = false;
+  uint64_t from_incarnation = 0;
+  uint64_t to_incarnation = 0;
+  bool is_open = false;
 };
 
 class World
 {
 public:
-  World (uint64_t seed, int nodes, int workers);
+  World (uint64_t seed, int nodes, int instances);
   ~World ();
 
   Faults faults;
   // Whether an order that is carried out late may reach the next life.
-  bool orders_outlive = false;
-  std::vector<std::string> breaches;
+  bool orders_survive_restart = false;
+  std::vector<std::string> violations;
   std::map<std::string, Job> jobs;
   std::vector<std::unique_ptr<Node> > nodes;
-  std::vector<std::unique_ptr<Worker> > workers;
-  std::map<std::string, Item> store;
+  std::vector<std::unique_ptr<Instance> > instances;
+  std::map<std::string, StoreItem> store;
   std::mt19937_64 random;
 
   void run_until (Millis time);
   Millis now () const;
   double
-  chance ()
+  draw_unit ()
   {
     return std::uniform_real_distribution<> () (random);
   }
   int
-  below (int bound)
+  draw_below (int bound)
   {
     return (int)(random () % (uint64_t)bound);
   }
 
   // Operators and instances.
   void configure (int64_t version, int64_t cpu_limit);
-  void put (const std::string &key, const std::string &value);
-  void remove (const std::string &key);
-  void register_worker (Worker &worker, bool draining = false);
-  void crash_worker (Worker &worker, Millis down_ms);
+  void put_key (const std::string &key, const std::string &value);
+  void remove_key (const std::string &key);
+  void register_instance (Instance &instance, bool draining = false);
+  void crash_instance (Instance &instance, Millis down_ms);
 
   // Nodes.
   void start_node (Node &node);
   void kill_node (Node &node, bool silent);
-  void set_cut (Node &node, bool cut);
-  void tick (Node &node);
-  Node *planner ();
+  void set_isolated (Node &node, bool isolated);
+  void run_node (Node &node);
+  Node *find_planner ();
 
   // Callers.
   void submit (const std::string &id, rst_jobdesc *desc);
@@ -189,7 +190,7 @@
   {
     return completed_;
   }
-  int known_over (const std::string &id) const;
+  int is_reported_ended (const std::string &id) const;
 
   // Backend of a node.
   void store_get (Node &node, const std::string &key, rst_store_done done,
@@ -197,17 +198,17 @@
   void store_range (Node &node, const std::string &prefix,
                     const std::string &after, rst_store_done done, void *data);
   void store_watch (Node &node, const std::string &prefix, int64_t after,
-                    Millis wait, rst_store_done done, void *data);
+                    Millis wait_ms, rst_store_done done, void *data);
   void store_commit (Node &node, const rst_store_write *writes, int count,
                      rst_store_done done, void *data);
-  void order (Node &node, int kind, const rst_instance_call &call,
-              rst_instance_done done, void *data);
-  void advise (Node &node, const char *const *ids, int count,
-               rst_advice_done done, void *data);
+  void call_instance (Node &node, int kind, const rst_instance_call &call,
+                      rst_instance_done done, void *data);
+  void request_advice (Node &node, const char *const *ids, int count,
+                       rst_advice_done done, void *data);
 
-  uint64_t connect (Node *from, const std::string &address);
-  void close (uint64_t end, bool by_owner);
-  void send (uint64_t end, const std::string &data);
+  uint64_t open_link (Node *from, const std::string &address);
+  void close_link (uint64_t end, bool by_owner);
+  void send_frame (uint64_t end, const std::string &data);
 
 private:
   struct Event
@@ -221,7 +222,7 @@
       return at != other.at ? at > other.at : sequence > other.sequence;
     }
   };
-  struct Call
+  struct CallerRequest
   {
     std::string id;
     rst_operation operation;
@@ -229,40 +230,42 @@
     bool sent;
   };
 
-  void at (Millis time, std::function<void ()> action);
-  void breach (const std::string &text);
-  int64_t running_cpu (const Worker &worker);
-  uint64_t begin_call (Node &node, std::function<void ()> lost);
-  bool end_call (Node &node, uint64_t life, uint64_t call);
-  void store_answer (Node &node, rst_store_answer *answer, rst_store_done done,
-                     void *data, Millis delay, bool lost);
-  bool store_reached (const Node &node) const;
-  void change (const std::string &key, const std::string *value);
-  Worker *find_worker (const std::string &address);
-  rst_instance_answer *apply (Worker &worker, const OrderCopy &copy);
-  void apply_start (Worker &worker, const OrderCopy &copy,
+  void schedule (Millis time, std::function<void ()> action);
+  void report_violation (const std::string &text);
+  int64_t sum_running_cpu (const Instance &instance);
+  uint64_t begin_call (Node &node, std::function<void ()> on_abort);
+  bool end_call (Node &node, uint64_t incarnation, uint64_t call);
+  void answer_store_call (Node &node, rst_store_answer *answer,
+                          rst_store_done done, void *data, Millis delay,
+                          bool lost);
+  bool can_reach_store (const Node &node) const;
+  void change_key (const std::string &key, const std::string *value);
+  Instance *find_instance (const std::string &address);
+  rst_instance_answer *apply_order (Instance &instance, const Order &order);
+  void apply_start (Instance &instance, const Order &order,
                     rst_instance_answer *answer);
-  void apply_stop (Worker &worker, const OrderCopy &copy);
-  void answer_order (Node &node, Worker &worker, uint64_t life, uint64_t call,
-                     rst_instance_done done, void *data, bool look);
-  void check_start (Worker &worker, const std::string &task, int attempt);
-  void note_ends (Worker &worker, int64_t last_seen);
-  void end_run (Worker &worker, const std::string &task, int end_reason);
-  double fail_chance (const std::string &task);
-  void check_gang (const std::string &step, int count);
-  void tick_worker (Worker &worker);
-  void list (Worker &worker, rst_instance_answer *answer);
-  Millis clock (const Worker &worker) const;
-  void end_calls (Node &node);
-  void open (uint64_t end, const std::string &address);
-  void deliver (Node *node, uint64_t life, rst_net_event event, uint64_t end,
-                const std::string &data);
-  void entry_opened ();
-  void entry_connect ();
-  void entry_frame (const std::string &data);
-  void entry_send (uint64_t number);
-  void call (const std::string &id, rst_operation operation,
-             rst_jobdesc *desc);
+  void apply_stop (Instance &instance, const Order &order);
+  void answer_instance_call (Node &node, Instance &instance,
+                             uint64_t node_incarnation, uint64_t call,
+                             rst_instance_done done, void *data, bool is_poll);
+  void check_start (Instance &instance, const std::string &task, int attempt);
+  void acknowledge_ends (Instance &instance, int64_t last_seen);
+  void end_run (Instance &instance, const std::string &task, int end_reason);
+  double get_failure_probability (const std::string &task);
+  void start_complete_gang (const std::string &step, int count);
+  void tick_instance (Instance &instance);
+  void list_runs (Instance &instance, rst_instance_answer *answer);
+  Millis get_clock (const Instance &instance) const;
+  void abort_calls (Node &node);
+  void accept_link (uint64_t end, const std::string &address);
+  void deliver_event (Node *node, uint64_t incarnation, rst_net_event event,
+                      uint64_t end, const std::string &data);
+  void handle_entry_opened ();
+  void connect_entry ();
+  void handle_entry_frame (const std::string &data);
+  void send_request (uint64_t number);
+  void make_request (const std::string &id, rst_operation operation,
+                     rst_jobdesc *desc);
 
   std::priority_queue<Event, std::vector<Event>, std::greater<Event> > events_;
   uint64_t sequence_ = 0;
@@ -273,11 +276,11 @@
   std::vector<std::pair<int64_t, std::string> > history_;
   std::map<uint64_t, Link> links_;
   uint64_t entry_link_ = 0;
-  bool entry_serving_ = false;
+  bool planner_is_serving_ = false;
   int64_t entry_epoch_ = 0;
-  std::map<uint64_t, Call> entry_calls_;
-  uint64_t next_number_ = 1;
-  std::set<std::string> shown_over_;
+  std::map<uint64_t, CallerRequest> entry_requests_;
+  uint64_t next_request_number_ = 1;
+  std::set<std::string> reported_ended_;
   int completed_ = 0;
   std::vector<rst_jobdesc *> descs_;
 };
--- a/test/replay/model.cc
+++ b/test/replay/model.cc
@@ -11,10 +11,10 @@
 using harness::Planner;
 using harness::Sent;
 
-static const rst_ms travel_ms = 1;
-static const rst_ms store_ms = 8;
-static const rst_ms step_ms = 2;
-static const rst_ms look_ms = 2000;
+static const rst_ms network_delay_ms = 1;
+static const rst_ms commit_ms = 8;
+static const rst_ms time_step_ms = 2;
+static const rst_ms poll_wait_ms = 2000;
 
 std::string
 read_load (const char *path, Load *out)
@@ -38,18 +38,20 @@
       else if (word == "seconds")
         words >> out->seconds;
       else if (word == "instances")
-        words >> out->instances >> out->cpu >> out->memory;
+        words >> out->instances >> out->instance_cpu_milli
+            >> out->instance_memory_mb;
       else if (word == "links")
-        words >> out->links;
+        words >> out->agents;
       else if (word == "customers")
         words >> out->customers;
       else if (word == "kind")
         {
-          Kind kind;
+          JobKind kind;
 
-          words >> kind.name >> kind.rate >> kind.tasks >> kind.cpu
-              >> kind.memory >> kind.ms >> kind.priority >> kind.slack
-              >> kind.target_ms >> kind.gang >> kind.approval >> kind.advice_ms
+          words >> kind.name >> kind.rate_per_s >> kind.mean_tasks
+              >> kind.cpu_milli >> kind.memory_mb >> kind.mean_run_ms
+              >> kind.priority >> kind.slack_factor >> kind.target_ms
+              >> kind.gang_fraction >> kind.approval_fraction >> kind.advice_ms
               >> kind.advice_per_instance_us;
           out->kinds.push_back (kind);
         }
@@ -57,8 +59,10 @@
         {
           Surge surge;
 
-          words >> surge.what >> surge.factor >> surge.from_s >> surge.to_s;
-          (word == "burst" ? out->bursts : out->hot).push_back (surge);
+          words >> surge.target >> surge.rate_factor >> surge.from_s
+              >> surge.to_s;
+          (word == "burst" ? out->kind_surges : out->customer_surges)
+              .push_back (surge);
         }
       else
         words.setstate (std::ios::failbit);
@@ -70,13 +74,13 @@
 }
 
 rst_ms
-percentile (std::vector<rst_ms> values, double share)
+quantile (std::vector<rst_ms> values, double fraction)
 {
   if (values.empty ())
     return 0;
   std::sort (values.begin (), values.end ());
   return values[std::min (values.size () - 1,
-                          (size_t)(share * (double)values.size ()))];
+                          (size_t)(fraction * (double)values.size ()))];
 }
 
 namespace
@@ -84,29 +88,29 @@
 
 struct Job
 {
-  const Kind *kind;
-  rst_ms at;
-  rst_ms objective;
-  double work;
-  bool gang;
+  const JobKind *kind;
+  rst_ms submitted_at;
+  rst_ms objective_ms;
+  double core_seconds;
+  bool is_gang;
   int tasks;
-  std::vector<int64_t> ms;
-  int left;
-  bool started = false;
+  std::vector<int64_t> run_ms;
+  int remaining_ends;
+  bool has_started = false;
 };
 
 struct Run
 {
   int attempt;
   rst_ms started_at;
-  int64_t ms;
+  int64_t run_ms;
 };
 
 struct Instance
 {
   std::map<std::string, Run> runs;
   std::vector<rst_run> ends;
-  int64_t next_end = 1;
+  int64_t next_end_number = 1;
 };
 
 class Model
@@ -115,47 +119,47 @@
   Model (const Load &load, const Policy &policy)
       : load_ (load), random_ (load.seed)
   {
-    rst_planner_set_policy (cell_.planner, policy.order, policy.fit);
+    rst_planner_set_policy (planner_.planner, policy.order, policy.fit);
     configure ();
-    for (int i = 0; i < load.links; i++)
-      cell_.add_agent ((uint64_t)i + 1);
+    for (int i = 0; i < load.agents; i++)
+      planner_.add_agent ((uint64_t)i + 1);
     for (int i = 0; i < load.instances; i++)
-      enter (i);
-    rst_planner_finish_restore (cell_.planner);
+      register_instance (i);
+    rst_planner_finish_restore (planner_.planner);
     for (int i = 0; i < load.instances; i++)
-      holders_[id_of (i)] = 1;
-    take_sent ();
-    for (auto &holder : holders_)
-      report (holder.first);
-    for (auto &holder : holders_)
-      look_later (holder.first);
-    for (const Kind &kind : load.kinds)
-      plan_arrivals (kind);
+      holder_links_[format_instance_id (i)] = 1;
+    handle_messages ();
+    for (auto &holder : holder_links_)
+      report_runs (holder.first);
+    for (auto &holder : holder_links_)
+      schedule_poll (holder.first);
+    for (const JobKind &kind : load.kinds)
+      schedule_arrivals (kind);
   }
 
   Result
   run ()
   {
-    rst_ms end = start_ + (rst_ms)(load_.seconds * 1000);
+    rst_ms end = start_ms + (rst_ms)(load_.seconds * 1000);
 
     while (now_ < end + drain_ms)
       {
-        now_ += step_ms;
-        cell_.set_time (now_);
+        now_ += time_step_ms;
+        planner_.set_time (now_);
         while (!events_.empty () && events_.top ().at <= now_)
           {
-            auto what = events_.top ().what;
+            auto action = events_.top ().action;
 
             events_.pop ();
-            what ();
+            action ();
           }
-        rst_planner_run (cell_.planner);
-        take_sent ();
-        take_commits ();
-        measure (end);
+        rst_planner_run (planner_.planner);
+        handle_messages ();
+        handle_commits ();
+        sample_utilization (end);
       }
-    result_.in_use /= std::max (samples_, 1.0);
-    result_.in_use_while_full /= std::max (full_samples_, 1.0);
+    result_.cpu_utilization /= std::max (samples_, 1.0);
+    result_.cpu_utilization_under_backlog /= std::max (backlog_samples_, 1.0);
     return result_;
   }
 
@@ -163,26 +167,26 @@
   struct Event
   {
     rst_ms at;
-    uint64_t order;
-    std::function<void ()> what;
+    uint64_t sequence;
+    std::function<void ()> action;
     bool
     operator<(const Event &other) const
     {
-      return at != other.at ? at > other.at : order > other.order;
+      return at != other.at ? at > other.at : sequence > other.sequence;
     }
   };
 
   static const rst_ms drain_ms = 20000;
-  static const rst_ms start_ = 2000;
+  static const rst_ms start_ms = 2000;
 
   void
-  at (rst_ms when, std::function<void ()> what)
+  schedule (rst_ms time, std::function<void ()> action)
   {
-    events_.push (Event{ when, order_++, std::move (what) });
+    events_.push (Event{ time, next_sequence_++, std::move (action) });
   }
 
   static std::string
-  id_of (int index)
+  format_instance_id (int index)
   {
     return "i-" + std::to_string (index);
   }
@@ -193,7 +197,7 @@
     rst_cellconfig *config = rst_cellconfig_create ();
 
     config->version = 1;
-    for (const Kind &kind : load_.kinds)
+    for (const JobKind &kind : load_.kinds)
       {
         auto *queue = g_new0 (rst_queue, 1);
 
@@ -203,7 +207,7 @@
         queue->pool = g_strdup ("pool");
         queue->max_failures = 3;
         queue->priority = kind.priority;
-        queue->slack = (int64_t)(kind.slack * 1000);
+        queue->slack = (int64_t)(kind.slack_factor * 1000);
         queue->target_ms = kind.target_ms;
         queue->needs_approval = true;
         queue->advice_ms = kind.advice_ms;
@@ -221,157 +225,167 @@
         g_hash_table_insert (config->keys, g_strdup (customer->name),
                              customer);
       }
-    rst_planner_configure (cell_.planner, config);
+    rst_planner_configure (planner_.planner, config);
   }
 
   void
-  enter (int index)
+  register_instance (int index)
   {
     rst_instance_entry entry = {};
 
-    g_strlcpy (entry.id, id_of (index).c_str (), sizeof entry.id);
+    g_strlcpy (entry.id, format_instance_id (index).c_str (), sizeof entry.id);
     g_strlcpy (entry.address, "10.0.0.1:80", sizeof entry.address);
     g_strlcpy (entry.zone, "a", sizeof entry.zone);
     g_strlcpy (entry.pool, "pool", sizeof entry.pool);
-    entry.capacity = { load_.cpu, load_.memory, 0 };
-    rst_planner_update_instance (cell_.planner, &entry);
+    entry.capacity = { load_.instance_cpu_milli, load_.instance_memory_mb, 0 };
+    rst_planner_update_instance (planner_.planner, &entry);
   }
 
   double
-  factor (const std::vector<Surge> &surges, const std::string &what, double s)
+  compute_surge_factor (const std::vector<Surge> &surges,
+                        const std::string &target, double time_s)
   {
     double product = 1.0;
 
     for (const Surge &surge : surges)
-      if (surge.what == what && s >= surge.from_s && s < surge.to_s)
-        product *= surge.factor;
+      if (surge.target == target && time_s >= surge.from_s
+          && time_s < surge.to_s)
+        product *= surge.rate_factor;
     return product;
   }
 
   void
-  plan_arrivals (const Kind &kind)
+  schedule_arrivals (const JobKind &kind)
   {
-    double s = 0.0;
+    double time_s = 0.0;
 
     while (true)
       {
-        double rate = kind.rate * factor (load_.bursts, kind.name, s);
+        double rate
+            = kind.rate_per_s
+              * compute_surge_factor (load_.kind_surges, kind.name, time_s);
 
-        s += std::exponential_distribution<> (rate) (random_);
-        if (s >= load_.seconds)
+        time_s += std::exponential_distribution<> (rate) (random_);
+        if (time_s >= load_.seconds)
           return;
-        at (start_ + (rst_ms)(s * 1000),
-            [this, &kind, s] { submit (kind, s); });
+        schedule (start_ms + (rst_ms)(time_s * 1000),
+                  [this, &kind, time_s] { submit (kind, time_s); });
       }
   }
 
   int
-  draw_customer (double s)
+  draw_customer (double time_s)
   {
     std::vector<double> weights;
 
     for (int i = 0; i < load_.customers; i++)
-      weights.push_back (factor (load_.hot, std::to_string (i), s));
+      weights.push_back (compute_surge_factor (load_.customer_surges,
+                                               std::to_string (i), time_s));
     return std::discrete_distribution<> (weights.begin (),
                                          weights.end ()) (random_);
   }
 
   void
-  submit (const Kind &kind, double s)
+  submit (const JobKind &kind, double time_s)
   {
     char id[17];
     Job job = {};
-    double unit = std::uniform_real_distribution<> () (random_);
-    std::string customer = "c" + std::to_string (draw_customer (s));
+    double draw = std::uniform_real_distribution<> () (random_);
+    std::string customer = "c" + std::to_string (draw_customer (time_s));
 
     g_snprintf (id, sizeof id, "%016x", ++next_job_);
     job.kind = &kind;
-    job.at = now_;
-    job.gang = unit < kind.gang;
-    job.tasks = 1 + std::poisson_distribution<> (kind.tasks - 1) (random_);
-    job.left = job.gang ? 1 : job.tasks;
+    job.submitted_at = now_;
+    job.is_gang = draw < kind.gang_fraction;
+    job.tasks
+        = 1 + std::poisson_distribution<> (kind.mean_tasks - 1) (random_);
+    job.remaining_ends = job.is_gang ? 1 : job.tasks;
     for (int i = 0; i < job.tasks; i++)
-      job.ms.push_back (
-          std::max<int64_t> (20, (int64_t)std::gamma_distribution<> (
-                                     4.0, (double)kind.ms / 4.0) (random_)));
-    if (job.gang)
-      std::fill (job.ms.begin (), job.ms.end (), job.ms[0]);
-    for (int64_t ms : job.ms)
-      job.work += (double)(ms * kind.cpu) / 1e6;
-    job.objective = (rst_ms)(kind.slack
-                             * (double)*std::max_element (job.ms.begin (),
-                                                          job.ms.end ()))
-                    + kind.target_ms;
+      job.run_ms.push_back (std::max<int64_t> (
+          20, (int64_t)std::gamma_distribution<> (4.0, (double)kind.mean_run_ms
+                                                           / 4.0) (random_)));
+    if (job.is_gang)
+      std::fill (job.run_ms.begin (), job.run_ms.end (), job.run_ms[0]);
+    for (int64_t run_ms : job.run_ms)
+      job.core_seconds += (double)(run_ms * kind.cpu_milli) / 1e6;
+    job.objective_ms = (rst_ms)(kind.slack_factor
+                                * (double)*std::max_element (
+                                    job.run_ms.begin (), job.run_ms.end ()))
+                       + kind.target_ms;
     result_.kinds[kind.name].jobs++;
-    result_.kinds[kind.name].work += job.work;
-    rst_jobdesc *desc = Planner::job (job.tasks, kind.cpu, job.gang);
+    result_.kinds[kind.name].core_seconds += job.core_seconds;
+    rst_jobdesc *desc = Planner::job (job.tasks, kind.cpu_milli, job.is_gang);
 
-    desc->steps[0].need.memory = kind.memory;
-    desc->steps[0].estimate_ms = kind.ms;
+    desc->steps[0].need.memory = kind.memory_mb;
+    desc->steps[0].estimate_ms = kind.mean_run_ms;
     jobs_[id] = job;
-    cell_.call (next_job_, RST_OPERATION_SUBMIT, id, desc, customer.c_str (),
-                ("/" + kind.name + "/").c_str ());
+    planner_.call (next_job_, RST_OPERATION_SUBMIT, id, desc,
+                   customer.c_str (), ("/" + kind.name + "/").c_str ());
   }
 
   void
-  take_sent ()
+  handle_messages ()
   {
     std::vector<Sent> sent;
 
-    sent.swap (cell_.sent);
-    cell_.replies.clear ();
+    sent.swap (planner_.sent);
+    planner_.replies.clear ();
     for (const Sent &message : sent)
       {
         if (message.kind == RST_MSG_HOLD)
-          holders_[message.id] = message.link;
+          holder_links_[message.id] = message.link;
         else if (message.kind == RST_MSG_START)
-          at (now_ + travel_ms, [this, message] { start (message); });
+          schedule (now_ + network_delay_ms,
+                    [this, message] { handle_start (message); });
         else if (message.kind == RST_MSG_STOP)
-          at (now_ + travel_ms, [this, message] { stop (message); });
+          schedule (now_ + network_delay_ms,
+                    [this, message] { handle_stop (message); });
         else if (message.kind == RST_MSG_ACK)
-          forget (message);
+          acknowledge_ends (message);
         else if (message.kind == RST_MSG_ADVISE)
-          advise (message);
+          handle_advice_request (message);
       }
   }
 
   void
-  take_commits ()
+  handle_commits ()
   {
-    if (cell_.commits.empty ())
+    if (planner_.commits.empty ())
       return;
-    cell_.commits.clear ();
-    at (now_ + store_ms, [this] { rst_planner_commit_done (cell_.planner); });
+    planner_.commits.clear ();
+    schedule (now_ + commit_ms,
+              [this] { rst_planner_commit_done (planner_.planner); });
   }
 
   void
-  start (const Sent &message)
+  handle_start (const Sent &message)
   {
     Job &job = jobs_[message.task.substr (0, 16)];
     int index = std::stoi (message.task.substr (message.task.rfind ('.') + 1));
 
-    if (!job.started)
-      result_.kinds[job.kind->name].first_start.push_back (now_ - job.at);
-    job.started = true;
+    if (!job.has_started)
+      result_.kinds[job.kind->name].first_start_delays_ms.push_back (
+          now_ - job.submitted_at);
+    job.has_started = true;
     instances_[message.id].runs[message.task]
-        = Run{ message.attempt, now_, job.ms[index] };
-    busy_cpu_ += job.kind->cpu;
-    cell_.answer (message.link, RST_MSG_STARTED, message.id, message.task,
-                  message.attempt, RST_RESULT_OK);
-    at (now_ + job.ms[index],
-        [this, message] { end (message, RST_END_DONE); });
+        = Run{ message.attempt, now_, job.run_ms[index] };
+    busy_cpu_ += job.kind->cpu_milli;
+    planner_.answer (message.link, RST_MSG_STARTED, message.id, message.task,
+                     message.attempt, RST_RESULT_OK);
+    schedule (now_ + job.run_ms[index],
+              [this, message] { end_run (message, RST_END_DONE); });
   }
 
   void
-  stop (const Sent &message)
+  handle_stop (const Sent &message)
   {
-    cell_.answer (message.link, RST_MSG_STOPPED, message.id, message.task,
-                  message.attempt, RST_RESULT_OK);
-    end (message, RST_END_STOPPED);
+    planner_.answer (message.link, RST_MSG_STOPPED, message.id, message.task,
+                     message.attempt, RST_RESULT_OK);
+    end_run (message, RST_END_STOPPED);
   }
 
   void
-  end (const Sent &message, rst_end end_reason)
+  end_run (const Sent &message, rst_end end_reason)
   {
     Instance &instance = instances_[message.id];
     Job &job = jobs_[message.task.substr (0, 16)];
@@ -381,27 +395,28 @@
         || found->second.attempt != message.attempt)
       return;
     instance.runs.erase (found);
-    busy_cpu_ -= job.kind->cpu;
-    instance.ends.push_back (Planner::ended (instance.next_end++, message.task,
-                                             message.attempt, end_reason));
-    report (message.id);
-    if (end_reason == RST_END_DONE && --job.left == 0)
-      finish (job);
+    busy_cpu_ -= job.kind->cpu_milli;
+    instance.ends.push_back (Planner::ended (instance.next_end_number++,
+                                             message.task, message.attempt,
+                                             end_reason));
+    report_runs (message.id);
+    if (end_reason == RST_END_DONE && --job.remaining_ends == 0)
+      record_job_end (job);
   }
 
   void
-  finish (const Job &job)
+  record_job_end (const Job &job)
   {
     KindResult &kind = result_.kinds[job.kind->name];
 
-    if (now_ - job.at > job.objective)
+    if (now_ - job.submitted_at > job.objective_ms)
       return;
-    kind.on_time++;
-    kind.work_on_time += job.work;
+    kind.jobs_on_time++;
+    kind.core_seconds_on_time += job.core_seconds;
   }
 
   void
-  report (const std::string &id)
+  report_runs (const std::string &id)
   {
     std::vector<rst_run> runs;
 
@@ -410,25 +425,26 @@
         const Run &run = entry.second;
 
         runs.push_back (Planner::running (entry.first, run.attempt));
-        runs.back ().percent = (int)((now_ - run.started_at) * 100 / run.ms);
+        runs.back ().percent
+            = (int)((now_ - run.started_at) * 100 / run.run_ms);
       }
     for (const rst_run &end : instances_[id].ends)
       runs.push_back (end);
-    cell_.report (holders_[id], id, runs);
+    planner_.report (holder_links_[id], id, runs);
   }
 
   // An agent's look also returns when nothing has ended for a while.
   void
-  look_later (const std::string &id)
+  schedule_poll (const std::string &id)
   {
-    at (now_ + look_ms, [this, id] {
-      report (id);
-      look_later (id);
+    schedule (now_ + poll_wait_ms, [this, id] {
+      report_runs (id);
+      schedule_poll (id);
     });
   }
 
   void
-  forget (const Sent &message)
+  acknowledge_ends (const Sent &message)
   {
     std::vector<rst_run> &ends = instances_[message.id].ends;
 
@@ -438,65 +454,67 @@
 
   // One call at a time for each link.
   void
-  advise (const Sent &message)
+  handle_advice_request (const Sent &message)
   {
-    const Kind &kind = *jobs_[message.id.substr (0, 16)].kind;
-    rst_ms cost
+    const JobKind &kind = *jobs_[message.id.substr (0, 16)].kind;
+    rst_ms duration_ms
         = kind.advice_ms
           + (rst_ms)message.ids.size () * kind.advice_per_instance_us / 1000;
-    rst_ms &free_at = advice_free_[message.link];
+    rst_ms &free_at = advice_free_at_[message.link];
     std::vector<std::string> approved;
 
-    free_at = std::max (free_at, now_) + cost;
-    result_.advice_calls++;
-    result_.advice_seconds += (double)cost / 1000.0;
+    free_at = std::max (free_at, now_) + duration_ms;
+    result_.advice_requests++;
+    result_.advice_seconds += (double)duration_ms / 1000.0;
     for (const std::string &id : message.ids)
       if (std::hash<std::string> () (message.id + id) % 1000
-          < kind.approval * 1000)
+          < kind.approval_fraction * 1000)
         approved.push_back (id);
-    at (free_at, [this, message, approved] {
-      cell_.advice (message.link, message.number, approved);
+    schedule (free_at, [this, message, approved] {
+      planner_.advice (message.link, message.number, approved);
     });
   }
 
   void
-  measure (rst_ms end)
+  sample_utilization (rst_ms end)
   {
     rst_planner_stats stats;
-    double share = (double)busy_cpu_ / (double)(load_.cpu * load_.instances);
+    double utilization
+        = (double)busy_cpu_
+          / (double)(load_.instance_cpu_milli * load_.instances);
 
-    if (now_ < start_ + 5000 || now_ > end || now_ % 50 != 0)
+    if (now_ < start_ms + 5000 || now_ > end || now_ % 50 != 0)
       return;
-    result_.in_use += share;
+    result_.cpu_utilization += utilization;
     samples_++;
-    rst_planner_read_stats (cell_.planner, &stats);
+    rst_planner_read_stats (planner_.planner, &stats);
     if (stats.waiting_steps < 10)
       return;
-    result_.in_use_while_full += share;
-    full_samples_++;
+    result_.cpu_utilization_under_backlog += utilization;
+    backlog_samples_++;
   }
 
   const Load &load_;
   std::mt19937 random_;
-  Planner cell_;
+  Planner planner_;
   Result result_;
-  rst_ms now_ = start_;
-  uint64_t order_ = 0;
+  rst_ms now_ = start_ms;
+  uint64_t next_sequence_ = 0;
   unsigned next_job_ = 0;
   int64_t busy_cpu_ = 0;
   double samples_ = 0;
-  double full_samples_ = 0;
+  double backlog_samples_ = 0;
   std::priority_queue<Event> events_;
   std::map<std::string, Job> jobs_;
   std::map<std::string, Instance> instances_;
-  std::map<std::string, uint64_t> holders_;
-  std::map<uint64_t, rst_ms> advice_free_;
+  std::map<std::string, uint64_t> holder_links_;
+  std::map<uint64_t, rst_ms> advice_free_at_;
 };
 
 } // namespace
 
 Result
-run (const Load &load, const Policy &policy)
+run_load (const Load &load, const Policy &policy)
 {
   return Model (load, policy).run ();
 }
--- a/test/replay/model.h
+++ b/test/replay/model.h
@@ -15,19 +15,19 @@
 {
 
 // One kind of job of a load file.
-struct Kind
+struct JobKind
 {
   std::string name;
-  double rate;
-  int tasks;
-  int64_t cpu;
-  int64_t memory;
-  int64_t ms;
+  double rate_per_s;
+  int mean_tasks;
+  int64_t cpu_milli;
+  int64_t memory_mb;
+  int64_t mean_run_ms;
   int priority;
-  double slack;
+  double slack_factor;
   int64_t target_ms;
-  double gang;
-  double approval;
+  double gang_fraction;
+  double approval_fraction;
   int64_t advice_ms;
   int64_t advice_per_instance_us;
 };
@@ -35,8 +35,8 @@
 // More of something for a while.
 struct Surge
 {
-  std::string what;
-  double factor;
+  std::string target;
+  double rate_factor;
   double from_s;
   double to_s;
 };
@@ -46,13 +46,13 @@
   unsigned seed = 1;
   double seconds = 10;
   int instances = 1;
-  int64_t cpu = 1000;
-  int64_t memory = 1000;
-  int links = 1;
+  int64_t instance_cpu_milli = 1000;
+  int64_t instance_memory_mb = 1000;
+  int agents = 1;
   int customers = 1;
-  std::vector<Kind> kinds;
-  std::vector<Surge> bursts;
-  std::vector<Surge> hot;
+  std::vector<JobKind> kinds;
+  std::vector<Surge> kind_surges;
+  std::vector<Surge> customer_surges;
 };
 
 // Reads a load file; an empty text when it is sound, else what is wrong.
@@ -68,26 +68,26 @@
 // What callers of one kind saw.
 struct KindResult
 {
-  std::vector<rst_ms> first_start;
+  std::vector<rst_ms> first_start_delays_ms;
   int jobs = 0;
-  int on_time = 0;
-  double work = 0;
-  double work_on_time = 0;
+  int jobs_on_time = 0;
+  double core_seconds = 0;
+  double core_seconds_on_time = 0;
 };
 
 struct Result
 {
   std::map<std::string, KindResult> kinds;
-  double in_use = 0;            // of all processors, over the loaded time
-  double in_use_while_full = 0; // the same while work waits
-  int64_t advice_calls = 0;
+  double cpu_utilization = 0; // of all processors, over the loaded time
+  double cpu_utilization_under_backlog = 0; // the same while work waits
+  int64_t advice_requests = 0;
   double advice_seconds = 0;
 };
 
-Result run (const Load &load, const Policy &policy);
+Result run_load (const Load &load, const Policy &policy);
 
 // The smallest value that the share of all values does not exceed.
-rst_ms percentile (std::vector<rst_ms> values, double share);
+rst_ms quantile (std::vector<rst_ms> values, double fraction);
 
 } // namespace replay
 
--- a/test/unit/replay_test.cc
+++ b/test/unit/replay_test.cc
@@ -10,22 +10,23 @@
   SetUp () override
   {
     ASSERT_EQ (replay::read_load (RST_LOAD_FILE, &load), "");
-    ranked = replay::run (load, { "", RST_STEP_ORDER_RANKED, RST_FIT_BEST });
-    fifo = replay::run (load, { "", RST_STEP_ORDER_FIFO, RST_FIT_FIRST });
+    ranked
+        = replay::run_load (load, { "", RST_STEP_ORDER_RANKED, RST_FIT_BEST });
+    fifo = replay::run_load (load, { "", RST_STEP_ORDER_FIFO, RST_FIT_FIRST });
   }
 
   static double
-  on_time (replay::Result &result, const char *kind)
+  on_time_fraction (replay::Result &result, const char *kind)
   {
-    const replay::KindResult &seen = result.kinds[kind];
+    const replay::KindResult &observed = result.kinds[kind];
 
-    return (double)seen.on_time / seen.jobs;
+    return (double)observed.jobs_on_time / observed.jobs;
   }
 
   static rst_ms
-  wait_p99 (replay::Result &result, const char *kind)
+  first_start_p99 (replay::Result &result, const char *kind)
   {
-    return replay::percentile (result.kinds[kind].first_start, 0.99);
+    return replay::quantile (result.kinds[kind].first_start_delays_ms, 0.99);
   }
 
   replay::Load load;
@@ -33,23 +34,25 @@
   replay::Result fifo;
 };
 
-TEST_F (Replay, MoreGangsAreOnTimeThanFirstComeFirstServed)
+TEST_F (Replay, FinishesMoreGangsOnTimeThanFifo)
 {
-  EXPECT_GT (on_time (ranked, "grid"), on_time (fifo, "grid") + 0.2);
+  EXPECT_GT (on_time_fraction (ranked, "grid"),
+             on_time_fraction (fifo, "grid") + 0.2);
 }
 
-TEST_F (Replay, UrgentQueriesWaitLessAndAreOnTime)
+TEST_F (Replay, FinishesUrgentQueriesOnTimeAndStartsThemSooner)
 {
-  EXPECT_LT (wait_p99 (ranked, "query"), wait_p99 (fifo, "query"));
-  EXPECT_GT (on_time (ranked, "query"), 0.99);
+  EXPECT_LT (first_start_p99 (ranked, "query"),
+             first_start_p99 (fifo, "query"));
+  EXPECT_GT (on_time_fraction (ranked, "query"), 0.99);
 }
 
-TEST_F (Replay, MoreOfTheProcessorsAreInUseThanWithFirstFit)
+TEST_F (Replay, UsesMoreProcessorsThanFirstFit)
 {
-  EXPECT_GT (ranked.in_use, fifo.in_use + 0.05);
+  EXPECT_GT (ranked.cpu_utilization, fifo.cpu_utilization + 0.05);
 }
 
-TEST (ReplayLoad, NamesTheLineThatCantBeRead)
+TEST (ReplayLoad, ReportsAnUnreadableFile)
 {
   replay::Load load;
 
