--- a/test/cell/fuzz.cc
+++ b/test/cell/fuzz.cc
@@ -1,7 +1,14 @@
-// Runs a cell under faults drawn from a seed; the oracle judges.
+// Simulates a cell under jobs and faults drawn from a seed, and prints the
+// violations that the oracle found and the jobs that did not finish.
 //
 //   cell-fuzz --seed N [--seconds N] [--seeds COUNT] [--log info] [--fault N]
 //             [--outlive 1]
+//
+// --seeds runs that many seeds in sequence, from --seed on.  --fault selects a
+// fault of enum rst_cell_fault_kind; it has an effect in cell-fuzz-faults
+// only.
+// --outlive lets an instance carry out late orders to its previous
+// incarnation.
 #include "world.h"
 
 #include <cstdio>
@@ -18,7 +25,7 @@
 
 using namespace cell;
 
-// Time in which faults come, and then to get everything done, in ms.
+// Time after the last fault in which all accepted jobs must finish.
 static const Millis settle_time_ms = 60000;
 
 static std::string
--- a/test/cell/instances.cc
+++ b/test/cell/instances.cc
@@ -1,4 +1,5 @@
-// Instances of the world and the oracle over what they run; see world.h.
+// Models of the instances and of the advice service, and the oracle that
+// checks what the instances run; see world.h.
 #include "world.h"
 
 #include <algorithm>
@@ -32,7 +33,7 @@
   return std::stoi (step.substr (step.rfind ('.') + 1));
 }
 
-// The instance's steady clock; it runs 2 % slow.
+// Returns the monotonic clock of an instance, which runs 2 % slow.
 Millis
 World::get_clock (const Instance &instance) const
 {
@@ -72,7 +73,7 @@
     add_run (answer, end.number, end.task, end.attempt, end.end_reason);
 }
 
-// An end is noted when the caller lets the instance forget it.
+// Removes the ends that the caller has stored, and counts them for the oracle.
 void
 World::acknowledge_ends (Instance &instance, int64_t last_seen)
 {
@@ -136,7 +137,8 @@
         report_violation ("ORDER " + task);
   if (cpu + step.need.cpu > instance_cpu_milli)
     report_violation ("LIMIT " + instance.id + " at " + std::to_string (cpu));
-  // A tenth and one task beyond the limit are allowed.
+  // The sum excludes the task that starts, so the usage may exceed the limit
+  // by a tenth and one task.
   for (auto &other : instances)
     total_cpu += other->is_up ? sum_running_cpu (*other) : 0;
   if (cpu_limit_ > 0 && total_cpu > cpu_limit_ + cpu_limit_ / 10)
@@ -144,7 +146,7 @@
   (void)attempt;
 }
 
-// Jobs whose text says so fail nearly always.
+// Runs of a job with the spec "fail" fail nearly always.
 double
 World::get_failure_probability (const std::string &task)
 {
@@ -280,7 +282,7 @@
         job.done_tasks.insert (get_step_name (task) + "."
                                + std::to_string (i));
     }
-  // A gang has one count.
+  // Failures of all members of a gang count together.
   if (end_reason == RST_END_FAILED)
     job.may_fail
         |= ++job.failures[step.gang ? get_step_name (task) : task] >= 3;
@@ -427,7 +429,8 @@
   order.restarts = instance->restarts;
   if (draw_unit () < faults.late_order_probability)
     {
-      // The next life under the same id may take it for its own.
+      // If orders survive a restart, the next incarnation of the instance may
+      // carry out an order to this one.
       schedule (now () + 2000 + draw_below (10000), [this, instance, order] {
         if (instance->is_up
             && instance->restarts - order.restarts
--- a/test/cell/store.cc
+++ b/test/cell/store.cc
@@ -1,4 +1,4 @@
-// The store of the world; see world.h.
+// Model of the store; see world.h.
 #include "world.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace cell
 {
 
-// When the adapter gives up a call that is not answered.
+// Timeouts of the store adapter.
 static const Millis get_timeout_ms = 600;
 static const Millis range_timeout_ms = 1500;
 static const Millis commit_timeout_ms = 700;
@@ -196,7 +196,8 @@
     done (no_answer, data);
   });
 
-  // One look when the wait is half over stands for a watch.
+  // Answers once, after at most 50 ms, with the changes so far; the caller
+  // then watches again.
   schedule (now () + std::min<Millis> (wait_ms, 50), [=, this, &node] {
     rst_store_answer *answer = rst_store_answer_new ();
     std::set<std::string> changed;
@@ -278,7 +279,7 @@
             && store.count (write.key) > 0)
           add_item (answer, write.key, &store[write.key]);
       }
-    // All writes of one change share the revision of the last.
+    // All writes of a transaction have the same revision, that of the last.
     for (auto &write : copy)
       if (succeeds && write.has_value)
         store[write.key].revision = revision_;
--- a/test/cell/world.cc
+++ b/test/cell/world.cc
@@ -1,4 +1,4 @@
-// Nodes, links, store and callers of the world; see world.h.
+// Event loop, nodes, links and callers of the simulated cell; see world.h.
 #include "world.h"
 
 #include <algorithm>
@@ -7,6 +7,7 @@
 namespace cell
 {
 
+// The fake clock; static because the callbacks that read it take no argument.
 static Millis world_now;
 
 static rst_ms
@@ -22,6 +23,7 @@
 }
 
 static const Millis link_delay_ms = 1;
+// A link is closed this long after its other end has become unreachable.
 static const Millis silence_timeout_ms = 1000;
 static const Millis instance_tick_ms = 20;
 
@@ -54,7 +56,8 @@
       register_instance (*instance);
       tick_instance (*instance);
     }
-  // Every fourth seed has a limit below the room of all instances.
+  // In every fourth seed the customer has a limit, below the capacity of all
+  // instances.
   configure (1, seed % 4 == 2 ? customer_cpu_limit_milli : 0);
   for (int i = 0; i < node_count; i++)
     {
@@ -107,7 +110,7 @@
   world_now = time;
 }
 
-// ---- nodes
+// Nodes
 
 static Node &
 as_node (void *userdata)
@@ -214,7 +217,8 @@
     schedule (world_now + delay, [this, end] { close_link (end, false); });
   node.link_ends.clear ();
   node.incarnation++;
-  // Calls under way end for the sake of their memory only.
+  // The callbacks of pending calls run so that they free their data.  The
+  // second pass covers calls that were begun meanwhile.
   rst_cell_node *killed = node.cell_node;
 
   node.cell_node = nullptr;
@@ -245,7 +249,7 @@
   return nullptr;
 }
 
-// ---- links; an even number is the opener's end, the odd one the other
+// Links
 
 uint64_t
 World::open_link (Node *from, const std::string &address)
@@ -391,7 +395,7 @@
     });
 }
 
-// ---- callers
+// Callers
 
 void
 World::connect_entry ()
--- a/test/cell/world.h
+++ b/test/cell/world.h
@@ -1,8 +1,10 @@
-// A cell in one process on a fake clock: nodes, store, instances, callers.
+// Simulates a cell in one process on a fake clock.
 //
-// Nodes are the daemons' own code (rst_cell_node).  Store and instances are
-// models of the platform's documented behaviour, with the faults that it may
-// show.  The oracle notes each breach of a property.
+// The nodes run the code of the daemons (rst_cell_node).  The store, the
+// instances, the advice service and the callers are models of their documented
+// behaviour, including the faults that they may show.  An oracle checks what
+// the instances run and what callers are told, and records each violation of a
+// property of the cell.
 #ifndef RST_TEST_CELL_WORLD_H
 #define RST_TEST_CELL_WORLD_H
 
@@ -27,16 +29,24 @@
 
 using Millis = int64_t;
 
-// What may go wrong, as probabilities or switches.
+// Faults of the outside systems; a probability applies to each call or run.
 struct Faults
 {
-  double lose_answer_probability = 0.0; // an instance's answer is lost
-  double late_order_probability = 0.0; // an order is carried out seconds later
-  double fail_run_probability = 0.05;  // a run fails
-  double lose_commit_probability = 0.0; // the store's answer is lost
-  double late_commit_probability = 0.0; // and the change is made seconds later
-  bool is_store_down = false;           // the store answers nobody
-  Millis store_delay_ms = 4;            // time of a call to the store
+  // The instance carries out a call but its answer is lost.
+  double lose_answer_probability = 0.0;
+  // The caller gets no answer and the instance carries out the order seconds
+  // later.
+  double late_order_probability = 0.0;
+  double fail_run_probability = 0.05;
+  // The store applies a transaction but its answer is lost.
+  double lose_commit_probability = 0.0;
+  // The caller gets no answer and the store applies the transaction seconds
+  // later.
+  double late_commit_probability = 0.0;
+  // The store answers no calls at all.
+  bool is_store_down = false;
+  // Duration of a call to the store.
+  Millis store_delay_ms = 4;
 };
 
 struct StoreItem
@@ -45,6 +55,7 @@
   int64_t revision = 0;
 };
 
+// A run on an instance.
 struct Run
 {
   std::string task;
@@ -52,10 +63,14 @@
   Millis ends_at = 0;
   bool will_fail = false;
   bool is_stopping = false;
-  int gang_size = 0; // members of its gang; 0 for none
+  // Number of tasks in its gang; 0 for a task outside a gang.
+  int gang_size = 0;
+  // Time at which it ends unless all members of its gang run; 0 once they do,
+  // -1 once another member has ended without completing.
   Millis gang_deadline = 0;
 };
 
+// The end of a run, which an instance lists until it is acknowledged.
 struct RunEnd
 {
   int64_t number;
@@ -64,15 +79,18 @@
   int end_reason;
 };
 
-// An order as it travels.
+// A call to an instance on its way there.
 struct Order
 {
-  int kind = 0; // 0 look, 1 start, 2 stop
+  int kind = 0; // 0: poll of the runs, 1: start, 2: stop
   std::string task;
   int attempt = 0;
   int64_t fencing_token = 0;
+  // On the clock of the instance; 0 leaves the lease as it is.
   Millis lease_expires_at = 0;
+  // Acknowledges the ends up to this number.
   int64_t last_seen = 0;
+  // Number of restarts and incarnation of the instance at the time of sending.
   int restarts = 0;
   int64_t incarnation = 0;
 };
@@ -83,36 +101,51 @@
   std::string address;
   std::string zone;
   bool is_up = true;
+  // Whether calls to it get no answer although it keeps running.
   bool is_unreachable = false;
   int restarts = 0;
+  // Time at which its present incarnation started.  It identifies the
+  // incarnation in answers and in the instance's entry.
   int64_t started_at = 0;
+  // The highest token seen; calls with a lower one are rejected.
   int64_t fencing_token = 0;
   int64_t next_end_number = 1;
+  // Reading of its clock at the start of each incarnation.
   Millis clock_offset = 0;
+  // On its own clock; all its runs end when the lease expires.
   Millis lease_expires_at = 0;
-  std::map<std::string, Run> runs;
+  std::map<std::string, Run> runs; // by task
+  // Highest attempt of each task that has ended or was ordered to stop.
   std::map<std::string, int> highest_attempts;
   std::vector<RunEnd> ends;
+  // Callbacks that answer the long polls waiting for a run to end.
   std::vector<std::function<void ()> > pending_polls;
-  std::set<std::string> listed_done; // tasks whose done end it listed
+  std::set<std::string> listed_done; // not used
 };
 
+// What the oracle knows of a job.
 struct Job
 {
   rst_jobdesc *desc = nullptr;
   std::string queue;
   bool is_accepted = false;
+  // Time at which a caller was told that it is cancelled; 0 if none was.
   Millis cancelled_at = 0;
-  std::set<std::string> done_tasks; // tasks that have ended done
-  std::map<std::string, int>
-      acknowledged_failures;                // noted failed runs of a task
-  std::map<std::string, int> failures;      // failed runs, noted or not
-  std::set<std::string> acknowledged_tasks; // tasks whose done end was noted
-  bool may_fail = false;                    // failed rightly
+  // Tasks with a run that completed.
+  std::set<std::string> done_tasks;
+  // Failed runs of each task whose ends were acknowledged.
+  std::map<std::string, int> acknowledged_failures;
+  // Failed runs of each task, and of each gang as one.
+  std::map<std::string, int> failures;
+  // Tasks with a completed run whose end was acknowledged.
+  std::set<std::string> acknowledged_tasks;
+  // Whether a task or a gang has failed often enough for the job to fail.
+  bool may_fail = false;
 };
 
 class World;
 
+// A process of the cell: an agent that can become the planner.
 struct Node
 {
   World *world = nullptr;
@@ -120,18 +153,26 @@
   std::string zone;
   std::string address;
   rst_backend backend = {};
+  // nullptr while the process is dead.
   rst_cell_node *cell_node = nullptr;
   bool is_store_unreachable = false;
+  // Whether it can reach neither other nodes nor the store nor instances.
   bool is_isolated = false;
   std::set<uint64_t> link_ends;
+  // Calls to outside systems; each value runs the callback of its call with
+  // the result "unknown".
   std::map<uint64_t, std::function<void ()> > pending_calls;
+  // Increases with each start and each death of the process.
   uint64_t incarnation = 0;
+  // Until then the node does not run and events of its links are delayed.
   Millis paused_until = 0;
 };
 
+// A link between two nodes, or from the callers' entry to a node.  Link n has
+// the ends 2n, at the side that opened it, and 2n + 1.
 struct Link
 {
-  Node *from = nullptr; // nullptr for the callers' entry
+  Node *from = nullptr; // nullptr: the callers' entry
   Node *to = nullptr;
   uint64_t from_incarnation = 0;
   uint64_t to_incarnation = 0;
@@ -145,7 +186,8 @@
   ~World ();
 
   Faults faults;
-  // Whether an order that is carried out late may reach the next life.
+  // Whether an instance may carry out a late order to its previous
+  // incarnation.
   bool orders_survive_restart = false;
   std::vector<std::string> violations;
   std::map<std::string, Job> jobs;
@@ -154,13 +196,16 @@
   std::map<std::string, StoreItem> store;
   std::mt19937_64 random;
 
+  // Handles all events up to @time and sets the clock to it.
   void run_until (Millis time);
   Millis now () const;
+  // Returns a random number from 0 up to, but not including, 1.
   double
   draw_unit ()
   {
     return std::uniform_real_distribution<> () (random);
   }
+  // Returns a random integer from 0 to @bound - 1.
   int
   draw_below (int bound)
   {
@@ -168,31 +213,45 @@
   }
 
   // Operators and instances.
+
+  // Writes the configuration of two queues and one customer; a limit of 0
+  // means none.
   void configure (int64_t version, int64_t cpu_limit);
   void put_key (const std::string &key, const std::string &value);
   void remove_key (const std::string &key);
   void register_instance (Instance &instance, bool draining = false);
+  // Stops an instance at once, and restarts it without its runs after
+  // @down_ms.
   void crash_instance (Instance &instance, Millis down_ms);
 
   // Nodes.
+
   void start_node (Node &node);
+  // Kills the process.  If @silent, its links are closed only after a timeout.
   void kill_node (Node &node, bool silent);
   void set_isolated (Node &node, bool isolated);
+  // Lets a node do what is due and schedules its next run.
   void run_node (Node &node);
+  // Returns the first node that is the planner, or nullptr.
   Node *find_planner ();
 
   // Callers.
+
+  // Takes ownership of @desc if the id is new.
   void submit (const std::string &id, rst_jobdesc *desc);
   void cancel (const std::string &id);
   void read (const std::string &id);
+  // Returns how many jobs callers have seen completed.
   int
   completed () const
   {
     return completed_;
   }
+  // Returns whether a caller has seen that the job ended.
   int is_reported_ended (const std::string &id) const;
 
-  // Backend of a node.
+  // Implementation of struct rst_backend for a node.
+
   void store_get (Node &node, const std::string &key, rst_store_done done,
                   void *data);
   void store_range (Node &node, const std::string &prefix,
@@ -201,12 +260,18 @@
                     Millis wait_ms, rst_store_done done, void *data);
   void store_commit (Node &node, const rst_store_write *writes, int count,
                      rst_store_done done, void *data);
+  // @kind is that of struct Order.
   void call_instance (Node &node, int kind, const rst_instance_call &call,
                       rst_instance_done done, void *data);
   void request_advice (Node &node, const char *const *ids, int count,
                        rst_advice_done done, void *data);
 
+  // Links.
+
+  // Returns the end of the opener, @from, or of the callers' entry if nullptr.
   uint64_t open_link (Node *from, const std::string &address);
+  // Closes a link.  If @by_owner, the node at @end closes it and is not
+  // notified.
   void close_link (uint64_t end, bool by_owner);
   void send_frame (uint64_t end, const std::string &data);
 
@@ -222,23 +287,29 @@
       return at != other.at ? at > other.at : sequence > other.sequence;
     }
   };
+  // A caller's request that has not been answered.
   struct CallerRequest
   {
     std::string id;
     rst_operation operation;
-    rst_jobdesc *desc;
+    rst_jobdesc *desc; // owned; nullptr unless the operation is a submit
     bool sent;
   };
 
   void schedule (Millis time, std::function<void ()> action);
   void report_violation (const std::string &text);
   int64_t sum_running_cpu (const Instance &instance);
+  // Registers a call of a node; @on_abort runs if the node dies before it
+  // ends.
   uint64_t begin_call (Node &node, std::function<void ()> on_abort);
+  // Returns whether the call was pending in this incarnation of the node.
   bool end_call (Node &node, uint64_t incarnation, uint64_t call);
+  // Answers with @answer, or with the result "unknown" if @lost.
   void answer_store_call (Node &node, rst_store_answer *answer,
                           rst_store_done done, void *data, Millis delay,
                           bool lost);
   bool can_reach_store (const Node &node) const;
+  // Sets a key, or deletes it if @value is nullptr.
   void change_key (const std::string &key, const std::string *value);
   Instance *find_instance (const std::string &address);
   rst_instance_answer *apply_order (Instance &instance, const Order &order);
@@ -271,12 +342,15 @@
   uint64_t sequence_ = 0;
   uint64_t next_link_ = 1;
   uint64_t next_call_ = 1;
-  int64_t cpu_limit_ = 0; // of the one customer; 0 for none
+  int64_t cpu_limit_ = 0; // of the one customer; 0: none
   int64_t revision_ = 10;
+  // Revision and key of each change of the store.
   std::vector<std::pair<int64_t, std::string> > history_;
   std::map<uint64_t, Link> links_;
+  // Link of the callers' entry to the planner; 0: none.
   uint64_t entry_link_ = 0;
   bool planner_is_serving_ = false;
+  // Epoch of the planner to which the entry connected last.
   int64_t entry_epoch_ = 0;
   std::map<uint64_t, CallerRequest> entry_requests_;
   uint64_t next_request_number_ = 1;
--- a/test/replay/model.cc
+++ b/test/replay/model.cc
@@ -86,6 +86,7 @@
 namespace
 {
 
+// A job that was submitted.
 struct Job
 {
   const JobKind *kind;
@@ -95,6 +96,7 @@
   bool is_gang;
   int tasks;
   std::vector<int64_t> run_ms;
+  // Number of runs that have yet to complete; a gang counts as one.
   int remaining_ends;
   bool has_started = false;
 };
@@ -113,6 +115,7 @@
   int64_t next_end_number = 1;
 };
 
+// The simulation of one load under one policy.
 class Model
 {
 public:
@@ -169,6 +172,7 @@
     rst_ms at;
     uint64_t sequence;
     std::function<void ()> action;
+    // Inverted, since std::priority_queue puts the greatest element first.
     bool
     operator<(const Event &other) const
     {
@@ -176,6 +180,7 @@
     }
   };
 
+  // Time after the last arrival in which jobs can still end.
   static const rst_ms drain_ms = 20000;
   static const rst_ms start_ms = 2000;
 
@@ -433,7 +438,8 @@
     planner_.report (holder_links_[id], id, runs);
   }
 
-  // An agent's look also returns when nothing has ended for a while.
+  // A long poll of an agent returns after poll_wait_ms even if no run has
+  // ended.
   void
   schedule_poll (const std::string &id)
   {
@@ -452,7 +458,7 @@
       ends.erase (ends.begin ());
   }
 
-  // One call at a time for each link.
+  // Each agent makes one advice request at a time.
   void
   handle_advice_request (const Sent &message)
   {
@@ -507,7 +513,9 @@
   std::priority_queue<Event> events_;
   std::map<std::string, Job> jobs_;
   std::map<std::string, Instance> instances_;
+  // Link of the agent that holds each instance.
   std::map<std::string, uint64_t> holder_links_;
+  // Time at which the last advice request of each agent, by link, ends.
   std::map<uint64_t, rst_ms> advice_free_at_;
 };
 
--- a/test/replay/model.h
+++ b/test/replay/model.h
@@ -1,5 +1,8 @@
-// A load model: one planner on a fake clock, with instances and an advice
-// service that do nothing but take time.  No faults; see test/cell for those.
+// Simulates a planner under a load on a fake clock.
+//
+// Tasks, commits, messages and advice requests take time but never fail;
+// test/cell simulates faults.  Results of different placement policies under
+// the same load can be compared.
 #ifndef RST_TEST_REPLAY_MODEL_H
 #define RST_TEST_REPLAY_MODEL_H
 
@@ -14,28 +17,29 @@
 namespace replay
 {
 
-// One kind of job of a load file.
+// A kind of job in a load file; it has a queue of its own, with its name.
 struct JobKind
 {
   std::string name;
   double rate_per_s;
-  int mean_tasks;
-  int64_t cpu_milli;
+  int mean_tasks;    // of a job
+  int64_t cpu_milli; // of a task, in thousandths of a core
   int64_t memory_mb;
   int64_t mean_run_ms;
   int priority;
+  // The objective of a job is this many times its longest run plus target_ms.
   double slack_factor;
   int64_t target_ms;
-  double gang_fraction;
-  double approval_fraction;
+  double gang_fraction;     // of the jobs
+  double approval_fraction; // of the instances in an advice request
   int64_t advice_ms;
   int64_t advice_per_instance_us;
 };
 
-// More of something for a while.
+// A temporary increase of the load.
 struct Surge
 {
-  std::string target;
+  std::string target; // name of a kind of job, or number of a customer
   double rate_factor;
   double from_s;
   double to_s;
@@ -51,13 +55,15 @@
   int agents = 1;
   int customers = 1;
   std::vector<JobKind> kinds;
-  std::vector<Surge> kind_surges;
-  std::vector<Surge> customer_surges;
+  std::vector<Surge> kind_surges;     // raise the rate of a kind of job
+  std::vector<Surge> customer_surges; // raise the weight of a customer in
+                                      // the draw of who submits a job
 };
 
-// Reads a load file; an empty text when it is sound, else what is wrong.
+// Reads a load file.  Returns an error message, "" on success.
 std::string read_load (const char *path, Load *out);
 
+// A placement policy of the planner.
 struct Policy
 {
   const char *name;
@@ -65,28 +71,33 @@
   rst_fit fit;
 };
 
-// What callers of one kind saw.
+// Results of the jobs of one kind.  A job is on time if it ends within its
+// objective.
 struct KindResult
 {
   std::vector<rst_ms> first_start_delays_ms;
   int jobs = 0;
   int jobs_on_time = 0;
-  double core_seconds = 0;
+  double core_seconds = 0; // of all jobs
   double core_seconds_on_time = 0;
 };
 
 struct Result
 {
   std::map<std::string, KindResult> kinds;
-  double cpu_utilization = 0; // of all processors, over the loaded time
-  double cpu_utilization_under_backlog = 0; // the same while work waits
+  // Mean fraction of all processors in use while the load arrives, without the
+  // first 5 s.
+  double cpu_utilization = 0;
+  // The same over the times at which at least 10 steps wait.
+  double cpu_utilization_under_backlog = 0;
   int64_t advice_requests = 0;
   double advice_seconds = 0;
 };
 
+// Simulates a load under a policy.
 Result run_load (const Load &load, const Policy &policy);
 
-// The smallest value that the share of all values does not exceed.
+// Returns the quantile of @values at @fraction (0 to 1); 0 for no values.
 rst_ms quantile (std::vector<rst_ms> values, double fraction);
 
 } // namespace replay
--- a/test/replay/replay.cc
+++ b/test/replay/replay.cc
@@ -1,4 +1,5 @@
-// Plays a load file with several policies and prints what callers saw.
+// Simulates a load file under several placement policies and prints the
+// results of each.
 #include <cstdio>
 #include <cstring>
 
@@ -28,7 +29,8 @@
 
   if (argc != 2 || strcmp (argv[1], "--help") == 0)
     {
-      printf ("Usage: replay LOAD\nPlays the load file with each policy.\n");
+      printf (
+          "Usage: replay LOAD\nSimulates the load file under each policy.\n");
       return argc == 2 ? 0 : 2;
     }
   error = replay::read_load (argv[1], &load);
--- a/test/unit/replay_test.cc
+++ b/test/unit/replay_test.cc
@@ -1,4 +1,5 @@
-// The planner's policy against plain ones on the load of burst.load.
+// Compares the planner's placement policy with first in, first out and first
+// fit, under the load of burst.load.
 #include <gtest/gtest.h>
 
 #include "replay/model.h"
