--- a/test/cell/fuzz.cc
+++ b/test/cell/fuzz.cc
@@ -202,8 +202,8 @@
   for (auto &violation : world.violations)
     printf ("violated: %s\n", violation.c_str ());
   printf ("seed %llu: %d jobs, %d completed, %d unfinished, %zu violated\n",
-          (unsigned long long)seed, jobs, world.completed (), unfinished,
-          world.violations.size ());
+          (unsigned long long)seed, jobs, world.count_completed_jobs (),
+          unfinished, world.violations.size ());
   return unfinished == 0 && world.violations.empty ();
 }
 
--- a/test/cell/instances.cc
+++ b/test/cell/instances.cc
@@ -12,6 +12,13 @@
 static const Millis gang_timeout_ms = 3000;
 static const Millis instance_tick_ms = 20;
 static const int instance_cpu_milli = 4000;
+static const Millis network_delay_ms = 1;
+static const Millis call_timeout_ms = 700;
+static const Millis advice_ms = 8;
+// Failed runs of a task at which its job fails; "attempts" in configure().
+static const int max_failures = 3;
+// A task may start up to this long after the cancellation of its job.
+static const Millis cancel_grace_ms = 3000;
 
 static std::string
 get_step_name (const std::string &task)
@@ -123,9 +130,9 @@
                         + instance.id);
   if (job.acknowledged_tasks.count (task) > 0)
     report_violation ("TWICE " + task + " starts after its end was noted");
-  if (job.acknowledged_failures[task] >= 3)
+  if (job.acknowledged_failures[task] >= max_failures)
     report_violation ("BUDGET " + task + " starts after three failed runs");
-  if (job.cancelled_at > 0 && now () > job.cancelled_at + 3000)
+  if (job.cancelled_at > 0 && now () > job.cancelled_at + cancel_grace_ms)
     report_violation ("UNASKED " + task
                       + " starts after its job was cancelled");
   for (int i = 0; i < step.after_count; i++)
@@ -254,9 +261,9 @@
         = std::max (instance.lease_expires_at,
                     std::min (order.lease_expires_at,
                               get_clock (instance) + max_lease_ms));
-  if (order.kind == 0)
+  if (order.kind == ORDER_POLL)
     acknowledge_ends (instance, order.last_seen);
-  else if (order.kind == 1)
+  else if (order.kind == ORDER_START)
     apply_start (instance, order, answer);
   else
     apply_stop (instance, order);
@@ -284,8 +291,8 @@
     }
   // Failures of all members of a gang count together.
   if (end_reason == RST_END_FAILED)
-    job.may_fail
-        |= ++job.failures[step.gang ? get_step_name (task) : task] >= 3;
+    job.may_fail |= ++job.failures[step.gang ? get_step_name (task) : task]
+                    >= max_failures;
   if (end_reason == RST_END_DONE || run.gang_size == 0)
     return;
   for (auto &other : instances)
@@ -370,7 +377,7 @@
 
   if (is_poll)
     list_runs (instance, answer);
-  schedule (now () + 1, [=, this, &node] {
+  schedule (now () + network_delay_ms, [=, this, &node] {
     if (end_call (node, node_incarnation, call))
       {
         done (answer, data);
@@ -382,8 +389,9 @@
 }
 
 void
-World::call_instance (Node &node, int kind, const rst_instance_call &call,
-                      rst_instance_done done, void *data)
+World::call_instance (Node &node, OrderKind kind,
+                      const rst_instance_call &call, rst_instance_done done,
+                      void *data)
 {
   Instance *instance = find_instance (call.address);
   Order order;
@@ -417,12 +425,12 @@
   order.last_seen = call.last_seen;
   if (instance == nullptr || !instance->is_up)
     {
-      fail_call (1, RST_RESULT_NOT_SENT);
+      fail_call (network_delay_ms, RST_RESULT_NOT_SENT);
       return;
     }
   if (instance->is_unreachable || node.is_isolated)
     {
-      fail_call (700, RST_RESULT_UNKNOWN);
+      fail_call (call_timeout_ms, RST_RESULT_UNKNOWN);
       return;
     }
   order.incarnation = instance->started_at;
@@ -437,15 +445,15 @@
                    <= (orders_survive_restart ? 1 : 0))
           rst_instance_answer_free (apply_order (*instance, order));
       });
-      fail_call (700, RST_RESULT_UNKNOWN);
+      fail_call (call_timeout_ms, RST_RESULT_UNKNOWN);
       return;
     }
   Millis wait_ms = call.wait_ms;
 
-  schedule (now () + 1, [=, this, &node] {
+  schedule (now () + network_delay_ms, [=, this, &node] {
     if (!instance->is_up || instance->started_at != order.incarnation)
       {
-        fail_call (1, RST_RESULT_UNKNOWN);
+        fail_call (network_delay_ms, RST_RESULT_UNKNOWN);
         return;
       }
     rst_instance_answer *answer = apply_order (*instance, order);
@@ -453,12 +461,12 @@
     if (draw_unit () < faults.lose_answer_probability)
       {
         rst_instance_answer_free (answer);
-        fail_call (700, RST_RESULT_UNKNOWN);
+        fail_call (call_timeout_ms, RST_RESULT_UNKNOWN);
         return;
       }
-    if (answer->result != RST_RESULT_OK || kind != 0)
+    if (answer->result != RST_RESULT_OK || kind != ORDER_POLL)
       {
-        schedule (now () + 1, [=, this, &node] {
+        schedule (now () + network_delay_ms, [=, this, &node] {
           if (end_call (node, node_incarnation, number))
             {
               done (answer, data);
@@ -486,7 +494,7 @@
         answer_instance_call (node, *instance, node_incarnation, number, done,
                               data, true);
       else
-        fail_call (1, RST_RESULT_UNKNOWN);
+        fail_call (network_delay_ms, RST_RESULT_UNKNOWN);
     };
 
     instance->pending_polls.push_back (answer_poll);
@@ -516,7 +524,7 @@
       if (i % 3 != 2)
         g_array_append_val (answer->tickets, ticket);
     }
-  schedule (now () + 8, [=, this, &node] {
+  schedule (now () + advice_ms, [=, this, &node] {
     if (end_call (node, node_incarnation, call))
       {
         done (answer, data);
--- a/test/cell/store.cc
+++ b/test/cell/store.cc
@@ -11,6 +11,7 @@
 static const Millis get_timeout_ms = 600;
 static const Millis range_timeout_ms = 1500;
 static const Millis commit_timeout_ms = 700;
+static const unsigned page_items = 40;
 
 void
 World::change_key (const std::string &key, const std::string *value)
@@ -171,7 +172,7 @@
       if (entry.first.compare (0, prefix.size (), prefix) != 0
           || entry.first <= after)
         continue;
-      if (answer->items->len == 40)
+      if (answer->items->len == page_items)
         {
           answer->has_more = true;
           break;
--- a/test/cell/world.cc
+++ b/test/cell/world.cc
@@ -25,6 +25,8 @@
 static const Millis link_delay_ms = 1;
 // A link is closed this long after its other end has become unreachable.
 static const Millis silence_timeout_ms = 1000;
+// Period at which the callers' entry reads the planner record.
+static const Millis entry_check_ms = 100;
 static const Millis instance_tick_ms = 20;
 
 Millis
@@ -146,15 +148,18 @@
   };
   node.backend.hold = [] (void *u, const rst_instance_call *call,
                           rst_instance_done done, void *data) {
-    as_node (u).world->call_instance (as_node (u), 0, *call, done, data);
+    as_node (u).world->call_instance (as_node (u), ORDER_POLL, *call, done,
+                                      data);
   };
   node.backend.start = [] (void *u, const rst_instance_call *call,
                            rst_instance_done done, void *data) {
-    as_node (u).world->call_instance (as_node (u), 1, *call, done, data);
+    as_node (u).world->call_instance (as_node (u), ORDER_START, *call, done,
+                                      data);
   };
   node.backend.stop = [] (void *u, const rst_instance_call *call,
                           rst_instance_done done, void *data) {
-    as_node (u).world->call_instance (as_node (u), 2, *call, done, data);
+    as_node (u).world->call_instance (as_node (u), ORDER_STOP, *call, done,
+                                      data);
   };
   node.backend.advise = [] (void *u, const char *step, const char *const *ids,
                             int count, rst_advice_done done, void *data) {
@@ -400,7 +405,7 @@
 void
 World::connect_entry ()
 {
-  schedule (world_now + 100, [this] { connect_entry (); });
+  schedule (world_now + entry_check_ms, [this] { connect_entry (); });
   auto found = store.find (RST_PLANNER_RECORD_KEY);
   rst_planner_record record;
 
--- a/test/cell/world.h
+++ b/test/cell/world.h
@@ -79,10 +79,17 @@
   int end_reason;
 };
 
+enum OrderKind
+{
+  ORDER_POLL, // of the runs; also acknowledges ends
+  ORDER_START,
+  ORDER_STOP
+};
+
 // A call to an instance on its way there.
 struct Order
 {
-  int kind = 0; // 0: poll of the runs, 1: start, 2: stop
+  OrderKind kind = ORDER_POLL;
   std::string task;
   int attempt = 0;
   int64_t fencing_token = 0;
@@ -243,7 +250,7 @@
   void read (const std::string &id);
   // Returns how many jobs callers have seen completed.
   int
-  completed () const
+  count_completed_jobs () const
   {
     return completed_;
   }
@@ -260,9 +267,9 @@
                     Millis wait_ms, rst_store_done done, void *data);
   void store_commit (Node &node, const rst_store_write *writes, int count,
                      rst_store_done done, void *data);
-  // @kind is that of struct Order.
-  void call_instance (Node &node, int kind, const rst_instance_call &call,
-                      rst_instance_done done, void *data);
+  void call_instance (Node &node, OrderKind kind,
+                      const rst_instance_call &call, rst_instance_done done,
+                      void *data);
   void request_advice (Node &node, const char *const *ids, int count,
                        rst_advice_done done, void *data);
 
