--- a/test/cell/fuzz.cc
+++ b/test/cell/fuzz.cc
@@ -4,9 +4,9 @@
 //   cell-fuzz --seed N [--seconds N] [--seeds COUNT] [--log info] [--fault N]
 //             [--outlive 1]
 //
-// --seeds runs that many seeds in sequence, from --seed on.  --fault selects a
-// fault of enum rst_cell_fault_kind; it has an effect in cell-fuzz-faults
-// only.
+// --seeds runs that many seeds in sequence, from --seed on.
+// --fault selects a deliberate fault; see cell/fault_private.h.  It has an
+// effect in cell-fuzz-faults only.
 // --outlive lets an instance carry out late orders to its previous
 // incarnation.
 #include "world.h"
--- a/test/replay/model.h
+++ b/test/replay/model.h
@@ -55,9 +55,10 @@
   int agents = 1;
   int customers = 1;
   std::vector<JobKind> kinds;
-  std::vector<Surge> kind_surges;     // raise the rate of a kind of job
-  std::vector<Surge> customer_surges; // raise the weight of a customer in
-                                      // the draw of who submits a job
+  // Each raises the rate of a kind of job.
+  std::vector<Surge> kind_surges;
+  // Each raises the weight of a customer in the draw of who submits a job.
+  std::vector<Surge> customer_surges;
 };
 
 // Reads a load file.  Returns an error message, "" on success.
