--- a/test/cell/instances.cc
+++ b/test/cell/instances.cc
@@ -109,6 +109,15 @@
   return cpu;
 }
 
+// Checks that the planner may start a run.  The properties are:
+//
+// UNASKED: a run belongs to a job that was submitted and not cancelled.
+// TWICE: a task has one run at a time, and none after its completion was
+//   acknowledged.
+// BUDGET: a task has no run after max_failures failed ones.
+// ORDER: a step starts after the steps that it depends on are done.
+// LIMIT: the runs of an instance fit its capacity.
+// QUOTA: the runs of the customer fit its limit, with a tolerance.
 void
 World::check_start (Instance &instance, const std::string &task, int attempt)
 {
--- a/test/cell/world.cc
+++ b/test/cell/world.cc
@@ -37,12 +37,13 @@
 
 static const int64_t customer_cpu_limit_milli = 12000;
 
-World::World (uint64_t seed, int node_count, int worker_count) : random (seed)
+World::World (uint64_t seed, int node_count, int instance_count)
+    : random (seed)
 {
   static const char *const zones[] = { "a", "b", "c" };
 
   world_now = 1000;
-  for (int i = 0; i < worker_count; i++)
+  for (int i = 0; i < instance_count; i++)
     {
       auto instance = std::make_unique<Instance> ();
 
@@ -472,6 +473,10 @@
   return job.done_tasks.size () == tasks;
 }
 
+// Handles a frame from the planner.  Two properties are checked on replies:
+//
+// LOST: an accepted job stays known, and fails only if a task failed too
+// often. MIXED: a job is completed only if all its tasks are done.
 void
 World::handle_entry_frame (const std::string &data)
 {
