--- a/test/cell/world.cc
+++ b/test/cell/world.cc
@@ -475,8 +475,8 @@
 
 // Handles a frame from the planner.  Two properties are checked on replies:
 //
-// LOST: an accepted job stays known, and fails only if a task failed too
-// often. MIXED: a job is completed only if all its tasks are done.
+// LOST: an accepted job stays known, and fails only if it had reason to.
+// MIXED: a job is completed only if all its tasks are done.
 void
 World::handle_entry_frame (const std::string &data)
 {
