--- a/test/cell/world.h
+++ b/test/cell/world.h
@@ -1,8 +1,10 @@
-// A cell in one process on a fake clock: nodes, store, instances, callers.
+// Simulates a cell in one process on a fake clock.
 //
-// Nodes are the daemons' own code (rst_cell_node).  Store and instances are
-// models of the platform's documented behaviour, with the faults that it may
-// show.  The oracle notes each breach of a property.
+// The nodes run the code of the daemons (rst_cell_node).  The store, the
+// instances, the advice service and the callers are models of their documented
+// behaviour, including the faults that they may show.  An oracle checks what
+// the instances run and what callers are told, and records each violation of a
+// property of the cell.
 #ifndef RST_TEST_CELL_WORLD_H
 #define RST_TEST_CELL_WORLD_H
 
@@ -27,36 +29,49 @@
 
 using Millis = int64_t;
 
-// What may go wrong, as probabilities or switches.
+// Faults of the outside systems; a probability applies to each call or run.
 struct Faults
 {
-  double lose_answer = 0.0; // an instance's answer is lost
-  double late_order = 0.0;  // an order is carried out seconds later
-  double fail_run = 0.05;   // a run fails
-  double lose_commit = 0.0; // the store's answer is lost
-  double late_commit = 0.0; // and the change is made seconds later
-  bool store_down = false;  // the store answers nobody
-  Millis store_delay = 4;   // time of a call to the store
+  // The instance carries out a call but its answer is lost.
+  double lose_answer_probability = 0.0;
+  // The caller gets no answer and the instance carries out the order seconds
+  // later.
+  double late_order_probability = 0.0;
+  double fail_run_probability = 0.05;
+  // The store applies a transaction but its answer is lost.
+  double lose_commit_probability = 0.0;
+  // The caller gets no answer and the store applies the transaction seconds
+  // later.
+  double late_commit_probability = 0.0;
+  // The store answers no calls at all.
+  bool is_store_down = false;
+  // Duration of a call to the store.
+  Millis store_delay_ms = 4;
 };
 
-struct Item
+struct StoreItem
 {
   std::string value;
   int64_t revision = 0;
 };
 
+// A run on an instance.
 struct Run
 {
   std::string task;
   int attempt = 0;
   Millis ends_at = 0;
-  bool fails = false;
-  bool stopping = false;
-  int count = 0; // members of its gang; 0 for none
-  Millis alone_at = 0;
+  bool will_fail = false;
+  bool is_stopping = false;
+  // Number of tasks in its gang; 0 for a task outside a gang.
+  int gang_size = 0;
+  // Time at which it ends unless all members of its gang run; 0 once they do,
+  // -1 once another member has ended without completing.
+  Millis gang_deadline = 0;
 };
 
-struct End
+// The end of a run, which an instance lists until it is acknowledged.
+struct RunEnd
 {
   int64_t number;
   std::string task;
@@ -64,54 +79,80 @@
   int end_reason;
 };
 
-// An order as it travels.
-struct OrderCopy
+enum OrderKind
 {
-  int kind = 0; // 0 look, 1 start, 2 stop
+  ORDER_POLL, // of the runs; also acknowledges ends
+  ORDER_START,
+  ORDER_STOP
+};
+
+// A call to an instance on its way there.
+struct Order
+{
+  OrderKind kind = ORDER_POLL;
   std::string task;
   int attempt = 0;
-  int64_t fence = 0;
-  Millis deadline = 0;
+  int64_t fencing_token = 0;
+  // On the clock of the instance; 0 leaves the lease as it is.
+  Millis lease_expires_at = 0;
+  // Acknowledges the ends up to this number.
   int64_t last_seen = 0;
-  int life = 0;
+  // Number of restarts and incarnation of the instance at the time of sending.
+  int restarts = 0;
   int64_t incarnation = 0;
 };
 
-struct Worker
+struct Instance
 {
   std::string id;
   std::string address;
   std::string zone;
-  bool up = true;
-  bool cut = false;
-  int lives = 0;
-  int64_t incarnation = 0;
-  int64_t fence = 0;
-  int64_t next_end = 1;
-  Millis clock_skew = 0;
-  Millis lease = 0;
-  std::map<std::string, Run> runs;
-  std::map<std::string, int> highest;
-  std::vector<End> ends;
-  std::vector<std::function<void ()> > waiting;
-  std::set<std::string> started_done; // tasks whose done end it listed
+  bool is_up = true;
+  // Whether calls to it get no answer although it keeps running.
+  bool is_unreachable = false;
+  int restarts = 0;
+  // Time at which its present incarnation started.  It identifies the
+  // incarnation in answers and in the instance's entry.
+  int64_t started_at = 0;
+  // The highest token seen; calls with a lower one are rejected.
+  int64_t fencing_token = 0;
+  int64_t next_end_number = 1;
+  // Reading of its clock at the start of each incarnation.
+  Millis clock_offset = 0;
+  // On its own clock; all its runs end when the lease expires.
+  Millis lease_expires_at = 0;
+  std::map<std::string, Run> runs; // by task
+  // Highest attempt of each task that has ended or was ordered to stop.
+  std::map<std::string, int> highest_attempts;
+  std::vector<RunEnd> ends;
+  // Callbacks that answer the long polls waiting for a run to end.
+  std::vector<std::function<void ()> > pending_polls;
+  std::set<std::string> listed_done; // not used
 };
 
+// What the oracle knows of a job.
 struct Job
 {
   rst_jobdesc *desc = nullptr;
   std::string queue;
-  bool accepted = false;
+  bool is_accepted = false;
+  // Time at which a caller was told that it is cancelled; 0 if none was.
   Millis cancelled_at = 0;
-  std::set<std::string> done;              // tasks that have ended done
-  std::map<std::string, int> failed;       // noted failed runs of a task
-  std::map<std::string, int> ended_failed; // failed runs, noted or not
-  std::set<std::string> noted;             // tasks whose done end was noted
-  bool over = false;                       // failed rightly
+  // Tasks with a run that completed.
+  std::set<std::string> done_tasks;
+  // Failed runs of each task whose ends were acknowledged.
+  std::map<std::string, int> acknowledged_failures;
+  // Failed runs of each task, and of each gang as one.
+  std::map<std::string, int> failures;
+  // Tasks with a completed run whose end was acknowledged.
+  std::set<std::string> acknowledged_tasks;
+  // Whether a task or a gang has failed often enough for the job to fail.
+  bool may_fail = false;
 };
 
 class World;
 
+// A process of the cell: an agent that can become the planner.
 struct Node
 {
   World *world = nullptr;
@@ -119,95 +160,127 @@
   std::string zone;
   std::string address;
   rst_backend backend = {};
-  rst_cell_node *node = nullptr;
-  bool store_cut = false;
-  bool cut = false;
-  std::set<uint64_t> links;
-  std::map<uint64_t, std::function<void ()> > calls;
-  uint64_t life = 0;
-  Millis frozen_until = 0;
+  // nullptr while the process is dead.
+  rst_cell_node *cell_node = nullptr;
+  bool is_store_unreachable = false;
+  // Whether it can reach neither other nodes nor the store nor instances.
+  bool is_isolated = false;
+  std::set<uint64_t> link_ends;
+  // Calls to outside systems; each value runs the callback of its call with
+  // the result "unknown".
+  std::map<uint64_t, std::function<void ()> > pending_calls;
+  // Increases with each start and each death of the process.
+  uint64_t incarnation = 0;
+  // Until then the node does not run and events of its links are delayed.
+  Millis paused_until = 0;
 };
 
+// A link between two nodes, or from the callers' entry to a node.  Link n has
+// the ends 2n, at the side that opened it, and 2n + 1.
 struct Link
 {
-  Node *from = nullptr; // nullptr for the callers' entry
+  Node *from = nullptr; // nullptr: the callers' entry
   Node *to = nullptr;
-  uint64_t from_life = 0;
-  uint64_t to_life = 0;
-  bool open = false;
+  uint64_t from_incarnation = 0;
+  uint64_t to_incarnation = 0;
+  bool is_open = false;
 };
 
 class World
 {
 public:
-  World (uint64_t seed, int nodes, int workers);
+  World (uint64_t seed, int nodes, int instances);
   ~World ();
 
   Faults faults;
-  // Whether an order that is carried out late may reach the next life.
-  bool orders_outlive = false;
-  std::vector<std::string> breaches;
+  // Whether an instance may carry out a late order to its previous
+  // incarnation.
+  bool orders_survive_restart = false;
+  std::vector<std::string> violations;
   std::map<std::string, Job> jobs;
   std::vector<std::unique_ptr<Node> > nodes;
-  std::vector<std::unique_ptr<Worker> > workers;
-  std::map<std::string, Item> store;
+  std::vector<std::unique_ptr<Instance> > instances;
+  std::map<std::string, StoreItem> store;
   std::mt19937_64 random;
 
+  // Handles all events up to @time and sets the clock to it.
   void run_until (Millis time);
   Millis now () const;
+  // Returns a random number from 0 up to, but not including, 1.
   double
-  chance ()
+  draw_unit ()
   {
     return std::uniform_real_distribution<> () (random);
   }
+  // Returns a random integer from 0 to @bound - 1.
   int
-  below (int bound)
+  draw_below (int bound)
   {
     return (int)(random () % (uint64_t)bound);
   }
 
   // Operators and instances.
+
+  // Writes the configuration of two queues and one customer; a limit of 0
+  // means none.
   void configure (int64_t version, int64_t cpu_limit);
-  void put (const std::string &key, const std::string &value);
-  void remove (const std::string &key);
-  void register_worker (Worker &worker, bool draining = false);
-  void crash_worker (Worker &worker, Millis down_ms);
+  void put_key (const std::string &key, const std::string &value);
+  void remove_key (const std::string &key);
+  void register_instance (Instance &instance, bool draining = false);
+  // Stops an instance at once, and restarts it without its runs after
+  // @down_ms.
+  void crash_instance (Instance &instance, Millis down_ms);
 
   // Nodes.
+
   void start_node (Node &node);
+  // Kills the process.  If @silent, its links are closed only after a timeout.
   void kill_node (Node &node, bool silent);
-  void set_cut (Node &node, bool cut);
-  void tick (Node &node);
-  Node *planner ();
+  void set_isolated (Node &node, bool isolated);
+  // Lets a node do what is due and schedules its next run.
+  void run_node (Node &node);
+  // Returns the first node that is the planner, or nullptr.
+  Node *find_planner ();
 
   // Callers.
+
+  // Takes ownership of @desc if the id is new.
   void submit (const std::string &id, rst_jobdesc *desc);
   void cancel (const std::string &id);
   void read (const std::string &id);
+  // Returns how many jobs callers have seen completed.
   int
-  completed () const
+  count_completed_jobs () const
   {
     return completed_;
   }
-  int known_over (const std::string &id) const;
+  // Returns whether a caller has seen that the job ended.
+  int is_reported_ended (const std::string &id) const;
+
+  // Implementation of struct rst_backend for a node.
 
-  // Backend of a node.
   void store_get (Node &node, const std::string &key, rst_store_done done,
                   void *data);
   void store_range (Node &node, const std::string &prefix,
                     const std::string &after, rst_store_done done, void *data);
   void store_watch (Node &node, const std::string &prefix, int64_t after,
-                    Millis wait, rst_store_done done, void *data);
+                    Millis wait_ms, rst_store_done done, void *data);
   void store_commit (Node &node, const rst_store_write *writes, int count,
                      rst_store_done done, void *data);
-  void order (Node &node, int kind, const rst_instance_call &call,
-              rst_instance_done done, void *data);
-  void advise (Node &node, const char *const *ids, int count,
-               rst_advice_done done, void *data);
+  void call_instance (Node &node, OrderKind kind,
+                      const rst_instance_call &call, rst_instance_done done,
+                      void *data);
+  void request_advice (Node &node, const char *const *ids, int count,
+                       rst_advice_done done, void *data);
+
+  // Links.
 
-  uint64_t connect (Node *from, const std::string &address);
-  void close (uint64_t end, bool by_owner);
-  void send (uint64_t end, const std::string &data);
+  // Returns the end of the opener, @from, or of the callers' entry if nullptr.
+  uint64_t open_link (Node *from, const std::string &address);
+  // Closes a link.  If @by_owner, the node at @end closes it and is not
+  // notified.
+  void close_link (uint64_t end, bool by_owner);
+  void send_frame (uint64_t end, const std::string &data);
 
 private:
   struct Event
@@ -221,63 +294,74 @@
       return at != other.at ? at > other.at : sequence > other.sequence;
     }
   };
-  struct Call
+  // A caller's request that has not been answered.
+  struct CallerRequest
   {
     std::string id;
     rst_operation operation;
-    rst_jobdesc *desc;
+    rst_jobdesc *desc; // owned; nullptr unless the operation is a submit
     bool sent;
   };
 
-  void at (Millis time, std::function<void ()> action);
-  void breach (const std::string &text);
-  int64_t running_cpu (const Worker &worker);
-  uint64_t begin_call (Node &node, std::function<void ()> lost);
-  bool end_call (Node &node, uint64_t life, uint64_t call);
-  void store_answer (Node &node, rst_store_answer *answer, rst_store_done done,
-                     void *data, Millis delay, bool lost);
-  bool store_reached (const Node &node) const;
-  void change (const std::string &key, const std::string *value);
-  Worker *find_worker (const std::string &address);
-  rst_instance_answer *apply (Worker &worker, const OrderCopy &copy);
-  void apply_start (Worker &worker, const OrderCopy &copy,
+  void schedule (Millis time, std::function<void ()> action);
+  void report_violation (const std::string &text);
+  int64_t sum_running_cpu (const Instance &instance);
+  // Registers a call of a node; @on_abort runs if the node dies before it
+  // ends.
+  uint64_t begin_call (Node &node, std::function<void ()> on_abort);
+  // Returns whether the call was pending in this incarnation of the node.
+  bool end_call (Node &node, uint64_t incarnation, uint64_t call);
+  // Answers with @answer, or with the result "unknown" if @lost.
+  void answer_store_call (Node &node, rst_store_answer *answer,
+                          rst_store_done done, void *data, Millis delay,
+                          bool lost);
+  bool can_reach_store (const Node &node) const;
+  // Sets a key, or deletes it if @value is nullptr.
+  void change_key (const std::string &key, const std::string *value);
+  Instance *find_instance (const std::string &address);
+  rst_instance_answer *apply_order (Instance &instance, const Order &order);
+  void apply_start (Instance &instance, const Order &order,
                     rst_instance_answer *answer);
-  void apply_stop (Worker &worker, const OrderCopy &copy);
-  void answer_order (Node &node, Worker &worker, uint64_t life, uint64_t call,
-                     rst_instance_done done, void *data, bool look);
-  void check_start (Worker &worker, const std::string &task, int attempt);
-  void note_ends (Worker &worker, int64_t last_seen);
-  void end_run (Worker &worker, const std::string &task, int end_reason);
-  double fail_chance (const std::string &task);
-  void check_gang (const std::string &step, int count);
-  void tick_worker (Worker &worker);
-  void list (Worker &worker, rst_instance_answer *answer);
-  Millis clock (const Worker &worker) const;
-  void end_calls (Node &node);
-  void open (uint64_t end, const std::string &address);
-  void deliver (Node *node, uint64_t life, rst_net_event event, uint64_t end,
-                const std::string &data);
-  void entry_opened ();
-  void entry_connect ();
-  void entry_frame (const std::string &data);
-  void entry_send (uint64_t number);
-  void call (const std::string &id, rst_operation operation,
-             rst_jobdesc *desc);
+  void apply_stop (Instance &instance, const Order &order);
+  void answer_instance_call (Node &node, Instance &instance,
+                             uint64_t node_incarnation, uint64_t call,
+                             rst_instance_done done, void *data, bool is_poll);
+  void check_start (Instance &instance, const std::string &task, int attempt);
+  void acknowledge_ends (Instance &instance, int64_t last_seen);
+  void end_run (Instance &instance, const std::string &task, int end_reason);
+  double get_failure_probability (const std::string &task);
+  void start_complete_gang (const std::string &step, int count);
+  void tick_instance (Instance &instance);
+  void list_runs (Instance &instance, rst_instance_answer *answer);
+  Millis get_clock (const Instance &instance) const;
+  void abort_calls (Node &node);
+  void accept_link (uint64_t end, const std::string &address);
+  void deliver_event (Node *node, uint64_t incarnation, rst_net_event event,
+                      uint64_t end, const std::string &data);
+  void handle_entry_opened ();
+  void connect_entry ();
+  void handle_entry_frame (const std::string &data);
+  void send_request (uint64_t number);
+  void make_request (const std::string &id, rst_operation operation,
+                     rst_jobdesc *desc);
 
   std::priority_queue<Event, std::vector<Event>, std::greater<Event> > events_;
   uint64_t sequence_ = 0;
   uint64_t next_link_ = 1;
   uint64_t next_call_ = 1;
-  int64_t cpu_limit_ = 0; // of the one customer; 0 for none
+  int64_t cpu_limit_ = 0; // of the one customer; 0: none
   int64_t revision_ = 10;
+  // Revision and key of each change of the store.
   std::vector<std::pair<int64_t, std::string> > history_;
   std::map<uint64_t, Link> links_;
+  // Link of the callers' entry to the planner; 0: none.
   uint64_t entry_link_ = 0;
-  bool entry_serving_ = false;
+  bool planner_is_serving_ = false;
+  // Epoch of the planner to which the entry connected last.
   int64_t entry_epoch_ = 0;
-  std::map<uint64_t, Call> entry_calls_;
-  uint64_t next_number_ = 1;
-  std::set<std::string> shown_over_;
+  std::map<uint64_t, CallerRequest> entry_requests_;
+  uint64_t next_request_number_ = 1;
+  std::set<std::string> reported_ended_;
   int completed_ = 0;
   std::vector<rst_jobdesc *> descs_;
 };
