--- a/src/coordination/sched_store.c
+++ b/src/coordination/sched_store.c
@@ -39,8 +39,8 @@
 
   g_snprintf (text, sizeof text, "%" G_GUINT64_FORMAT, revision);
   if (g_str_has_prefix (key, RST_KEY_SETTINGS))
-    rst_info ("settings", "Settings branch was applied.", "key", key,
-              "revision", text);
+    rst_info ("settings", "Settings branch applied.", "key", key, "revision",
+              text);
   sched_peer_push_branch (sched, key, revision, value);
   if (strcmp (key, RST_KEY_CELL) == 0)
     note_stopped_members (sched);
@@ -79,8 +79,8 @@
     handle_applied_branch (sched, key, revision, value);
   else if (error == RST_STATE_INVALID)
     rst_warning ("settings",
-                 "Settings branch is invalid; the version before stays.",
-                 "key", key, "problem", g_strchomp (problems->str));
+                 "Settings branch rejected; its old value is kept.", "key",
+                 key, "problem", g_strchomp (problems->str));
   g_string_free (problems, TRUE);
 }
 
--- a/src/state/state.c
+++ b/src/state/state.c
@@ -14,7 +14,7 @@
     case RST_STATE_UNKNOWN:
       return "not found";
     case RST_STATE_FULL:
-      return "limit reached";
+      return "no free entry";
     default:
       return "unknown state error";
     }
--- a/src/state/state.h
+++ b/src/state/state.h
@@ -10,7 +10,7 @@
  * @RST_STATE_INVALID: A value is invalid.
  * @RST_STATE_STALE: This revision or a newer one is already known.
  * @RST_STATE_UNKNOWN: The object does not exist.
- * @RST_STATE_FULL: A limit on the number of objects is reached.
+ * @RST_STATE_FULL: A fixed-size table has no free entry.
  */
 enum rst_state_error
 {
