--- a/src/coordination/sched_instance.c
+++ b/src/coordination/sched_instance.c
@@ -200,14 +200,14 @@
 
 static void
 apply_owned (struct rst_scheduler *sched, const struct rst_zone *zone,
-             const struct rst_ownership *owned)
+             const struct rst_ownership *ownership)
 {
-  bool mine = strcmp (owned->owner, sched->incarnation) == 0;
+  bool mine = strcmp (ownership->owner, sched->incarnation) == 0;
   struct instance *instance;
 
   if (!mine)
     {
-      instance = g_hash_table_lookup (sched->instances, owned->instance);
+      instance = g_hash_table_lookup (sched->instances, ownership->instance);
       /* Runs on an instance that was handed over, in a rebalance or a planned
          stop, count here until the new owner announces that it counts
          them. */
@@ -215,19 +215,20 @@
         drop_instance (instance, instance->releasing || sched->stopping);
       return;
     }
-  instance = find_or_add_instance (sched, owned->instance);
-  if (instance->phase == INSTANCE_NOT_OWNED || instance->epoch != owned->epoch)
-    begin_adoption (instance, owned->epoch);
+  instance = find_or_add_instance (sched, ownership->instance);
+  if (instance->phase == INSTANCE_NOT_OWNED
+      || instance->epoch != ownership->epoch)
+    begin_adoption (instance, ownership->epoch);
   else if (instance->releasing && zone->revision > instance->release_revision)
     instance->releasing = false;
-  instance->settled = owned->settled;
+  instance->settled = ownership->settled;
 }
 
 /* Applies a new revision of the own zone's ownership record. */
 void
 sched_instance_apply_zone (struct rst_scheduler *sched)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
 
   for (int i = 0; i < zone->owned_count; i++)
     apply_owned (sched, zone, &zone->owned[i]);
@@ -304,7 +305,7 @@
 claim_instances (struct rst_scheduler *sched, struct rst_zone *zone,
                  void *data)
 {
-  const struct rst_zone *current = sched_zone (sched);
+  const struct rst_zone *current = sched_get_zone (sched);
   GPtrArray *names = g_ptr_array_new ();
   GHashTableIter iterator;
   gpointer value;
@@ -387,10 +388,10 @@
   for (guint i = 0; i < sched->owned->len && moved > 0; i++)
     {
       struct instance *instance = g_ptr_array_index (sched->owned, i);
-      const struct rst_ownership *owned
+      const struct rst_ownership *ownership
           = rst_zone_find_ownership (zone, instance->info.name);
 
-      if (owned != NULL && owned->owner[0] == '\0')
+      if (ownership != NULL && ownership->owner[0] == '\0')
         {
           instance->releasing = true;
           instance->release_revision = revision;
@@ -415,7 +416,8 @@
 on_zone_written (struct rst_scheduler *sched, bool ok)
 {
   (void)ok;
-  sched->zone_update_next_at = sched_now (sched) + sched_jitter (sched, 100);
+  sched->zone_update_next_at
+      = sched_now (sched) + sched_add_jitter (sched, 100);
 }
 
 static void
--- a/src/coordination/sched_job_call.c
+++ b/src/coordination/sched_job_call.c
@@ -116,7 +116,7 @@
 forward_to_owner (struct job_read *read, const struct rst_job_record *record)
 {
   struct rst_scheduler *sched = read->sched;
-  uint64_t link = sched_link_to (sched, record->owner);
+  uint64_t link = sched_find_link (sched, record->owner);
   struct rst_message call = read->call;
 
   call.id = sched_next_id (sched);
@@ -143,7 +143,7 @@
   char *text;
 
   if (!rst_job_record_is_finished (record)
-      && (sched_link_to (sched, record->owner) != 0
+      && (sched_find_link (sched, record->owner) != 0
           || read->call.job_call.operation == RST_JOB_CANCEL))
     {
       forward_to_owner (read, record);
@@ -325,14 +325,15 @@
 };
 
 void
-sched_job_add_forward (struct rst_scheduler *sched, uint64_t id, uint64_t to,
-                       uint64_t link, uint64_t caller_request_id)
+sched_job_add_forward (struct rst_scheduler *sched, uint64_t id,
+                       uint64_t owner_link, uint64_t caller_link,
+                       uint64_t caller_request_id)
 {
   struct job_forward *forward = g_new0 (struct job_forward, 1);
 
   forward->id = id;
-  forward->owner_link = to;
-  forward->caller_link = link;
+  forward->owner_link = owner_link;
+  forward->caller_link = caller_link;
   forward->caller_request_id = caller_request_id;
   g_hash_table_insert (sched->job_forwards, &forward->id, forward);
 }
--- a/src/coordination/sched_job_find.c
+++ b/src/coordination/sched_job_find.c
@@ -96,7 +96,7 @@
       if (g_hash_table_contains (job->search_replies, incarnation))
         continue;
       search->all_replied = false;
-      link = sched_link_to (job->sched, incarnation);
+      link = sched_find_link (job->sched, incarnation);
       if (link != 0)
         sched_send (job->sched, link, &message);
     }
@@ -151,7 +151,7 @@
 static bool
 should_claim (struct rst_scheduler *sched, const struct rst_job_record *record)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
   const char *names[RST_MEMBERS_MAX];
   size_t length = strlen (sched->config.zone);
   int chosen;
@@ -201,10 +201,10 @@
   if (reply->result != RST_PLATFORM_OK)
     {
       sched->jobs_list_next_at
-          = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
+          = sched_now (sched) + sched_add_jitter (sched, SCHED_STORE_RETRY_MS);
       return;
     }
-  if (sched_zone (sched) == NULL || sched->joined_revision == 0)
+  if (sched_get_zone (sched) == NULL || sched->joined_revision == 0)
     return;
   for (int i = 0; i < reply->kv_count; i++)
     claim_job (sched, &reply->kvs[i]);
--- a/src/coordination/sched_job_record.c
+++ b/src/coordination/sched_job_record.c
@@ -164,7 +164,7 @@
   if (!found && reply->result != RST_PLATFORM_NOT_FOUND)
     {
       job->verify_at = sched_now (job->sched)
-                       + sched_jitter (job->sched, SCHED_STORE_RETRY_MS);
+                       + sched_add_jitter (job->sched, SCHED_STORE_RETRY_MS);
       return;
     }
   if (revision == job->base_revision)
--- a/src/coordination/sched_job_start.c
+++ b/src/coordination/sched_job_start.c
@@ -136,7 +136,7 @@
 {
   g_strlcpy (job->waiting_for, reason, sizeof job->waiting_for);
   job->starts_paused_until
-      = sched_now (job->sched) + sched_jitter (job->sched, pause);
+      = sched_now (job->sched) + sched_add_jitter (job->sched, pause);
 }
 
 /* Requests the start of a task, or a reservation for a task of a gang. Returns
@@ -221,7 +221,7 @@
 sched_job_send_stop (struct job *job, struct task *task, uint64_t result)
 {
   struct rst_message message = { 0 };
-  uint64_t link = sched_link_to (job->sched, task->worker_owner);
+  uint64_t link = sched_find_link (job->sched, task->worker_owner);
 
   message.type = RST_TASK_STOP;
   message.task_event.job = job->record.name;
@@ -270,7 +270,7 @@
         continue;
       sched_job_set_task_state (job, task, TASK_START_REQUESTED);
       sched_job_send_start (
-          job, i, sched_link_to (job->sched, task->worker_owner), false);
+          job, i, sched_find_link (job->sched, task->worker_owner), false);
     }
 }
 
--- a/src/coordination/sched_job_task.c
+++ b/src/coordination/sched_job_task.c
@@ -256,7 +256,7 @@
                    const struct rst_message *message)
 {
   const struct rst_task_event *event = &message->task_event;
-  const struct peer *peer = sched_peer_by_link (sched, link);
+  const struct peer *peer = sched_find_peer_by_link (sched, link);
   const char *incarnation = link == SCHED_LINK_SELF ? sched->incarnation
                             : peer != NULL          ? peer->incarnation
                                                     : "";
@@ -326,7 +326,7 @@
       if (task->state != TASK_START_REQUESTED
           || now - task->request_sent_at < START_RESEND_MS)
         continue;
-      link = sched_link_to (sched, task->worker_owner);
+      link = sched_find_link (sched, task->worker_owner);
       if (link != 0)
         sched_job_send_start (job, i, link, hold_only);
       else if (!sched_is_member (sched, task->worker_owner))
@@ -350,7 +350,7 @@
   if (now < job->reconcile_next_at)
     return;
   job->reconcile_next_at
-      = now + sched_jitter (job->sched, RECONCILE_INTERVAL_MS);
+      = now + sched_add_jitter (job->sched, RECONCILE_INTERVAL_MS);
   if (job->running_count == 0 || job->in_doubt_count > 0)
     return;
   for (int64_t i = 0; i < job->record.spec.tasks; i++)
--- a/src/coordination/sched_limit.c
+++ b/src/coordination/sched_limit.c
@@ -95,7 +95,7 @@
   struct team *team = data;
 
   clear_handed_over (team);
-  g_free (team->text);
+  g_free (team->written_text);
   g_free (team);
 }
 
@@ -301,7 +301,7 @@
   part = rst_limit_find_part (&team->limit, sched->incarnation);
   CK_LIST_FOREACH (transfer, &team->transfers, entry)
   withheld += transfer->count;
-  withheld += team->busy ? team->shrink_pending : 0;
+  withheld += team->write_pending ? team->shrink_pending : 0;
   team->granted = part != NULL && part->granted > withheld
                       ? part->granted - withheld
                       : 0;
@@ -319,12 +319,13 @@
 static void
 finish_write (struct team *team)
 {
-  team->busy = false;
+  team->write_pending = false;
   team->shrink_pending = 0;
-  g_free (team->text);
-  team->text = NULL;
-  team->next_at = sched_now (team->sched)
-                  + sched_jitter (team->sched, SCHED_LIMIT_WRITE_INTERVAL_MS);
+  g_free (team->written_text);
+  team->written_text = NULL;
+  team->next_at
+      = sched_now (team->sched)
+        + sched_add_jitter (team->sched, SCHED_LIMIT_WRITE_INTERVAL_MS);
 }
 
 static void
@@ -349,9 +350,9 @@
 static void
 apply_own_write (struct team *team, uint64_t revision)
 {
-  char *text = team->text;
+  char *text = team->written_text;
 
-  team->text = NULL;
+  team->written_text = NULL;
   drop_written_transfers (team);
   finish_write (team);
   team->limit_known = false;
@@ -378,7 +379,7 @@
   char *key = limit_key (team);
 
   sched->counters.store_writes++;
-  sched->platform->store_put (sched->platform_data, key, team->text,
+  sched->platform->store_put (sched->platform_data, key, team->written_text,
                               (int64_t)team->base_revision, 0,
                               on_limit_written, team);
   g_free (key);
@@ -395,7 +396,7 @@
   if (!found && reply->result != RST_PLATFORM_NOT_FOUND)
     {
       team->verify_at = sched_now (team->sched)
-                        + sched_jitter (team->sched, SCHED_STORE_RETRY_MS);
+                        + sched_add_jitter (team->sched, SCHED_STORE_RETRY_MS);
       return;
     }
   if (revision == team->base_revision)
@@ -449,10 +450,10 @@
   if (own == NULL)
     return;
   own->write_number = ++team->write_number;
-  team->busy = true;
+  team->write_pending = true;
   team->base_revision = limit->revision;
   g_strlcpy (team->writer, sched->incarnation, RST_NAME_SIZE);
-  team->text = rst_limit_format (limit);
+  team->written_text = rst_limit_format (limit);
   send_write (team);
 }
 
@@ -463,7 +464,7 @@
 static bool
 has_left_zone (const struct rst_scheduler *sched, const char *holder)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
   size_t length = strlen (sched->config.zone);
 
   return zone != NULL && strncmp (holder, sched->config.zone, length) == 0
@@ -476,7 +477,7 @@
 static bool
 is_zone_settled (const struct rst_scheduler *sched)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
 
   for (int i = 0; i < zone->owned_count; i++)
     if (!zone->owned[i].settled)
@@ -538,8 +539,7 @@
   return changed;
 }
 
-/* Removes the parts of members that have left the zone, once no run can need
-   them any more. */
+/* Removes parts of members that have left, once no run can need them. */
 static bool
 remove_parts_of_departed (struct team *team, struct rst_limit *limit)
 {
@@ -669,7 +669,7 @@
   uint32_t upper = sched_limit_get_upper (sched, team->name);
   struct rst_limit limit;
 
-  if (team->busy)
+  if (team->write_pending)
     {
       if (team->verify_at != 0 && sched_now (sched) >= team->verify_at)
         read_limit (team);
--- a/src/coordination/sched_member.c
+++ b/src/coordination/sched_member.c
@@ -187,7 +187,7 @@
     }
   sched->member_write_pending = false;
   sched->member_write_next_at
-      = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
+      = sched_now (sched) + sched_add_jitter (sched, SCHED_STORE_RETRY_MS);
 }
 
 static void
@@ -218,7 +218,7 @@
 static void
 write_own_record (struct rst_scheduler *sched)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
   struct rst_member_record record = { 0 };
   char *key;
   char *text;
@@ -252,7 +252,7 @@
 delay_session_retry (struct rst_scheduler *sched)
 {
   sched->session_next_at
-      = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
+      = sched_now (sched) + sched_add_jitter (sched, SCHED_STORE_RETRY_MS);
 }
 
 static void
@@ -400,7 +400,7 @@
 static void
 join_tick (struct rst_scheduler *sched)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
 
   if (sched->stopping || !sched_member_is_registered (sched))
     return;
@@ -413,7 +413,7 @@
 static void
 declare_tick (struct rst_scheduler *sched)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
   char *members;
 
   if (zone == NULL || sched->joined_revision == 0
@@ -504,7 +504,7 @@
 void
 sched_member_apply_zone (struct rst_scheduler *sched)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
   bool member = rst_zone_find_member (zone, sched->incarnation) != NULL;
 
   if (member && sched->joined_revision == 0)
@@ -626,7 +626,7 @@
 static void
 stop_tick (struct rst_scheduler *sched)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
 
   if (sched->handover_done)
     return;
--- a/src/coordination/sched_member_takeover.c
+++ b/src/coordination/sched_member_takeover.c
@@ -23,9 +23,9 @@
 {
   struct rst_scheduler *sched = takeover->sched;
 
-  takeover->busy = false;
+  takeover->call_pending = false;
   takeover->next_at
-      = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
+      = sched_now (sched) + sched_add_jitter (sched, SCHED_STORE_RETRY_MS);
   if (!takeover->fenced)
     rst_promises_set_refused (sched->promises, takeover->member, false);
 }
@@ -38,7 +38,7 @@
   if (reply->result == RST_PLATFORM_OK)
     {
       takeover->fenced = true;
-      takeover->busy = false;
+      takeover->call_pending = false;
       rst_info (LOG_DOMAIN,
                 "Tenure of a member was ended; its instances are reassigned.",
                 "member", takeover->member);
@@ -112,7 +112,7 @@
   if (reply->result == RST_PLATFORM_NOT_FOUND)
     {
       takeover->fenced = true;
-      takeover->busy = false;
+      takeover->call_pending = false;
       return;
     }
   if (reply->result != RST_PLATFORM_OK || reply->kv_count != 1
@@ -125,7 +125,7 @@
   if (record.fenced_by[0] != '\0')
     {
       takeover->fenced = true;
-      takeover->busy = false;
+      takeover->call_pending = false;
     }
   else if (is_known_stopped (takeover))
     write_fence (takeover);
@@ -143,7 +143,7 @@
   struct rst_scheduler *sched = takeover->sched;
   char *key = sched_member_record_key (sched, takeover->member);
 
-  takeover->busy = true;
+  takeover->call_pending = true;
   rst_promises_set_refused (sched->promises, takeover->member, true);
   sched->counters.store_reads++;
   sched->platform->store_get (sched->platform_data, key, on_member_read,
@@ -214,7 +214,7 @@
   rst_ms wait = get_own_rank (sched, zone, takeover->member)
                 * TAKEOVER_DELAY_PER_RANK_MS;
 
-  if (takeover->busy || takeover->fenced || now < takeover->next_at)
+  if (takeover->call_pending || takeover->fenced || now < takeover->next_at)
     return;
   if (is_known_stopped (takeover))
     begin_fence (takeover);
@@ -255,7 +255,7 @@
           = !takeover->fenced && !is_known_stopped (takeover)
             && g_hash_table_contains (sched->alive_members, takeover->member);
 
-      if (!takeover->busy && (is_removed || is_alive))
+      if (!takeover->call_pending && (is_removed || is_alive))
         {
           if (is_removed && takeover->fenced)
             sched_member_delete_record (sched, takeover->member);
@@ -269,7 +269,7 @@
 void
 sched_member_takeovers_tick (struct rst_scheduler *sched)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
   struct takeover *takeover;
   bool any_fenced = false;
 
--- a/src/coordination/sched_peer.c
+++ b/src/coordination/sched_peer.c
@@ -18,14 +18,14 @@
 #define MISMATCHES_BEFORE_RESEND 2
 
 struct peer *
-sched_peer_by_link (struct rst_scheduler *sched, uint64_t link)
+sched_find_peer_by_link (struct rst_scheduler *sched, uint64_t link)
 {
   return g_hash_table_lookup (sched->peers, &link);
 }
 
 struct peer *
-sched_peer_by_incarnation (struct rst_scheduler *sched,
-                           const char *incarnation)
+sched_find_peer_by_incarnation (struct rst_scheduler *sched,
+                                const char *incarnation)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -180,7 +180,7 @@
 static void
 check_members_at_address (struct rst_scheduler *sched, const struct peer *peer)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
 
   for (int i = 0; zone != NULL && i < zone->member_count; i++)
     check_member_stopped (sched, peer, &zone->members[i]);
@@ -291,10 +291,10 @@
 
   if (now < sched->connect_next_at || sched->stopped)
     return;
-  sched->connect_next_at = now + sched_jitter (sched, CONNECT_INTERVAL_MS);
+  sched->connect_next_at = now + sched_add_jitter (sched, CONNECT_INTERVAL_MS);
   rst_settings_visit_zone_records (sched->settings, connect_to_members, sched);
-  for (guint i = 0; i < sched->seeds->len; i++)
-    connect_to (sched, g_ptr_array_index (sched->seeds, i));
+  for (guint i = 0; i < sched->seed_addresses->len; i++)
+    connect_to (sched, g_ptr_array_index (sched->seed_addresses, i));
 }
 
 static void
--- a/src/coordination/sched_query.c
+++ b/src/coordination/sched_query.c
@@ -29,7 +29,7 @@
 void
 sched_query_init (struct rst_scheduler *sched)
 {
-  sched->records
+  sched->request_records
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, record_free);
   sched->query_forwards
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, NULL);
@@ -99,12 +99,12 @@
 
   if (!query->keyed)
     return;
-  record = g_hash_table_lookup (sched->records, query->record_key);
+  record = g_hash_table_lookup (sched->request_records, query->record_key);
   if (record == NULL || record->running_query != query)
     return;
   if (message->answer.outcome == RST_REQUEST_NOT_RUN)
     {
-      g_hash_table_remove (sched->records, query->record_key);
+      g_hash_table_remove (sched->request_records, query->record_key);
       return;
     }
   record->running_query = NULL;
@@ -298,7 +298,7 @@
   if (!sched->awaiting_home_replies)
     return;
   sched->awaiting_home_replies = false;
-  records = g_hash_table_get_values (sched->records);
+  records = g_hash_table_get_values (sched->request_records);
   for (GList *item = records; item != NULL; item = item->next)
     {
       struct query *query
@@ -334,7 +334,8 @@
     {
       sched->sweep_next_at = now + SCHED_SWEEP_INTERVAL_MS;
       release_expired_runs (sched);
-      g_hash_table_foreach_remove (sched->records, record_expired, &now);
+      g_hash_table_foreach_remove (sched->request_records, record_expired,
+                                   &now);
       g_hash_table_foreach_remove (sched->recent_messages, message_expired,
                                    &now);
     }
@@ -377,6 +378,6 @@
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     query_free (value);
   g_hash_table_destroy (sched->query_forwards);
-  g_hash_table_destroy (sched->records);
+  g_hash_table_destroy (sched->request_records);
   g_hash_table_destroy (sched->recent_messages);
 }
--- a/src/coordination/sched_query_forward.c
+++ b/src/coordination/sched_query_forward.c
@@ -91,7 +91,8 @@
 static void
 clear_forward (struct query *query)
 {
-  struct peer *peer = sched_peer_by_link (query->sched, query->forward_link);
+  struct peer *peer
+      = sched_find_peer_by_link (query->sched, query->forward_link);
 
   if (peer != NULL && peer->forwarded_queries > 0)
     peer->forwarded_queries--;
--- a/src/coordination/sched_query_intake.c
+++ b/src/coordination/sched_query_intake.c
@@ -19,7 +19,8 @@
 reply_to_repeat (struct rst_scheduler *sched, uint64_t link,
                  const struct rst_message *message, const char *key)
 {
-  struct request_record *record = g_hash_table_lookup (sched->records, key);
+  struct request_record *record
+      = g_hash_table_lookup (sched->request_records, key);
   struct rst_message answer;
 
   if (record == NULL)
@@ -95,7 +96,7 @@
   g_strlcpy (query->record_key, key, sizeof query->record_key);
   record->running_query = query;
   record->expires_at = INT64_MAX;
-  g_hash_table_insert (query->sched->records, record->key, record);
+  g_hash_table_insert (query->sched->request_records, record->key, record);
 }
 
 void
@@ -152,7 +153,7 @@
       sched_query_end_in_doubt (
           query, "a scheduler that may have run the request is lost");
       break;
-    case RECORD_ELSEWHERE:
+    case RECORD_HOME_ELSEWHERE:
       sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "home-changed",
                           "another scheduler handles this request id now");
       break;
--- a/src/coordination/sched_query_run.c
+++ b/src/coordination/sched_query_run.c
@@ -173,7 +173,7 @@
 
   g_strlcpy (name, query->instance, sizeof name);
   if (reply->result == RST_PLATFORM_OK
-      || reply->result == RST_PLATFORM_REFUSED)
+      || reply->result == RST_PLATFORM_REJECTED)
     report_to_breaker (instance, true);
   else
     report_to_breaker (instance, false);
@@ -207,7 +207,7 @@
 {
   struct rst_scheduler *sched = query->sched;
   struct rst_run_info info = { 0 };
-  struct rst_query_request run = { 0 };
+  struct rst_query_request request = { 0 };
   rst_ms now = sched_now (sched);
 
   g_snprintf (info.id, sizeof info.id, "%s/%s", query->team->name,
@@ -220,17 +220,17 @@
   g_strlcpy (query->instance, instance->info.name, RST_NAME_SIZE);
   rst_breaker_record_request (&instance->breaker);
   log_placement (query, instance);
-  run.id = query->run->info.id;
-  run.team = query->team->name;
-  run.epoch = instance->epoch;
-  run.idempotent = query->idempotent;
-  run.deadline_ms = query->deadline - now;
-  run.not_after
+  request.id = query->run->info.id;
+  request.team = query->team->name;
+  request.epoch = instance->epoch;
+  request.idempotent = query->idempotent;
+  request.deadline_ms = query->deadline - now;
+  request.not_after
       = MIN (query->deadline, rst_tenure_get_expiry (sched->tenure, now));
-  run.body = query->body.data;
-  run.length = query->body.length;
+  request.body = query->body.data;
+  request.length = query->body.length;
   sched->platform->query_run (sched->platform_data, instance->info.address,
-                              &run, on_run_reply, query);
+                              &request, on_run_reply, query);
 }
 
 static bool
--- a/src/coordination/sched_record.c
+++ b/src/coordination/sched_record.c
@@ -223,7 +223,7 @@
 
       if (!may_be_earlier_home (inquiry->search, incarnation))
         continue;
-      if (sched_send (sched, sched_link_to (sched, incarnation), &message))
+      if (sched_send (sched, sched_find_link (sched, incarnation), &message))
         inquiry->query->pending_home_replies++;
       else
         inquiry->unreachable = true;
@@ -247,7 +247,7 @@
 
   rst_settings_visit_zone_records (sched->settings, score_members, &search);
   if (search.home == NULL || strcmp (search.home, sched->incarnation) != 0)
-    return RECORD_ELSEWHERE;
+    return RECORD_HOME_ELSEWHERE;
   if (query->idempotent)
     return RECORD_NEW;
   if (may_have_lost_home (&search))
@@ -276,7 +276,7 @@
   g_strlcpy (record->key, key, sizeof record->key);
   record->home_moved = true;
   record->expires_at = sched_now (sched) + get_lookback_ms (sched);
-  g_hash_table_insert (sched->records, record->key, record);
+  g_hash_table_insert (sched->request_records, record->key, record);
 }
 
 void
@@ -285,7 +285,7 @@
 {
   const char *key = message->record.key;
   const struct request_record *record
-      = g_hash_table_lookup (sched->records, key);
+      = g_hash_table_lookup (sched->request_records, key);
   struct rst_message reply = { 0 };
   const struct rst_answer *answer;
 
@@ -332,7 +332,7 @@
                            const struct rst_message *message)
 {
   const struct request_record *record
-      = g_hash_table_lookup (sched->records, message->record.key);
+      = g_hash_table_lookup (sched->request_records, message->record.key);
   struct query *query = record != NULL ? record->running_query : NULL;
 
   (void)link;
--- a/src/coordination/sched_store.c
+++ b/src/coordination/sched_store.c
@@ -118,12 +118,12 @@
   struct watch *watch = data;
   struct rst_scheduler *sched = watch->sched;
 
-  watch->busy = false;
+  watch->call_pending = false;
   watch->next_at = sched_now (sched);
   if (reply->result == RST_PLATFORM_NOT_FOUND)
     watch->listed = false;
   else if (reply->result != RST_PLATFORM_OK)
-    watch->next_at += sched_jitter (sched, SCHED_STORE_RETRY_MS);
+    watch->next_at += sched_add_jitter (sched, SCHED_STORE_RETRY_MS);
   else
     {
       for (int i = 0; i < reply->kv_count; i++)
@@ -138,11 +138,11 @@
   struct watch *watch = data;
   struct rst_scheduler *sched = watch->sched;
 
-  watch->busy = false;
+  watch->call_pending = false;
   watch->next_at = sched_now (sched);
   if (reply->result != RST_PLATFORM_OK)
     {
-      watch->next_at += sched_jitter (sched, SCHED_STORE_RETRY_MS);
+      watch->next_at += sched_add_jitter (sched, SCHED_STORE_RETRY_MS);
       return;
     }
   if (watch == &sched->shared_watch)
@@ -158,9 +158,9 @@
 {
   struct rst_scheduler *sched = watch->sched;
 
-  if (watch->busy || sched_now (sched) < watch->next_at)
+  if (watch->call_pending || sched_now (sched) < watch->next_at)
     return;
-  watch->busy = true;
+  watch->call_pending = true;
   sched->counters.store_reads++;
   if (!watch->listed)
     sched->platform->store_list (sched->platform_data, watch->prefix,
@@ -193,10 +193,11 @@
 {
   struct zone_writer *writer = &sched->zone_writer;
 
-  g_free (writer->text);
-  writer->text = NULL;
-  writer->busy = false;
-  writer->next_at = sched_now (sched) + (ok ? 0 : sched_jitter (sched, 100));
+  g_free (writer->written_text);
+  writer->written_text = NULL;
+  writer->write_pending = false;
+  writer->next_at
+      = sched_now (sched) + (ok ? 0 : sched_add_jitter (sched, 100));
   writer->done (sched, ok);
 }
 
@@ -215,7 +216,7 @@
     {
       sched_apply_branch (sched, reply->kvs[0].key, reply->kvs[0].revision,
                           reply->kvs[0].value);
-      zone = sched_zone (sched);
+      zone = sched_get_zone (sched);
       is_own_write = zone != NULL
                      && zone->write_number == sched->zone_writer.write_number
                      && strcmp (zone->writer, sched->incarnation) == 0;
@@ -225,7 +226,7 @@
     finish_write (sched, false);
   else
     sched->zone_writer.verify_at
-        = sched_now (sched) + sched_jitter (sched, SCHED_STORE_RETRY_MS);
+        = sched_now (sched) + sched_add_jitter (sched, SCHED_STORE_RETRY_MS);
 }
 
 static void
@@ -252,7 +253,8 @@
       return;
     }
   key = zone_key (sched);
-  sched_apply_branch (sched, key, reply->revision, sched->zone_writer.text);
+  sched_apply_branch (sched, key, reply->revision,
+                      sched->zone_writer.written_text);
   g_free (key);
   finish_write (sched, true);
 }
@@ -268,11 +270,11 @@
                    void (*done) (struct rst_scheduler *, bool))
 {
   struct zone_writer *writer = &sched->zone_writer;
-  const struct rst_zone *current = sched_zone (sched);
+  const struct rst_zone *current = sched_get_zone (sched);
   struct rst_zone *zone;
   char *key;
 
-  if (writer->busy || sched_now (sched) < writer->next_at
+  if (writer->write_pending || sched_now (sched) < writer->next_at
       || !sched->shared_watch.listed)
     return false;
   zone = current != NULL ? rst_zone_copy (current)
@@ -282,14 +284,14 @@
       rst_zone_destroy (zone);
       return false;
     }
-  writer->busy = true;
+  writer->write_pending = true;
   writer->done = done;
   zone->write_number = ++writer->write_number;
   g_strlcpy (zone->writer, sched->incarnation, RST_NAME_SIZE);
-  writer->text = rst_zone_format (zone);
+  writer->written_text = rst_zone_format (zone);
   key = zone_key (sched);
   sched->counters.store_writes++;
-  sched->platform->store_put (sched->platform_data, key, writer->text,
+  sched->platform->store_put (sched->platform_data, key, writer->written_text,
                               (int64_t)zone->revision, 0, on_written, sched);
   g_free (key);
   rst_zone_destroy (zone);
@@ -302,7 +304,7 @@
 {
   struct zone_writer *writer = &sched->zone_writer;
 
-  if (writer->busy && writer->verify_at != 0
+  if (writer->write_pending && writer->verify_at != 0
       && sched_now (sched) >= writer->verify_at)
     read_record (sched);
 }
--- a/src/coordination/sched_task.c
+++ b/src/coordination/sched_task.c
@@ -373,7 +373,7 @@
 report_end (struct rst_scheduler *sched, struct run *run)
 {
   struct rst_message message = { 0 };
-  uint64_t link = sched_link_to (sched, run->info.owner);
+  uint64_t link = sched_find_link (sched, run->info.owner);
   GHashTableIter iterator;
   gpointer value;
 
--- a/src/coordination/sched_task_find.c
+++ b/src/coordination/sched_task_find.c
@@ -27,7 +27,7 @@
 static bool
 all_workers_adopted (const struct rst_scheduler *sched)
 {
-  const struct rst_zone *zone = sched_zone (sched);
+  const struct rst_zone *zone = sched_get_zone (sched);
 
   if (zone == NULL || !sched->list_received)
     return false;
@@ -94,7 +94,7 @@
   reply.task_event.job = (char *)job;
   reply.task_event.index = UINT64_MAX;
   reply.task_event.attempt
-      = sched_zone (sched) != NULL ? sched_zone (sched)->revision : 0;
+      = sched_get_zone (sched) != NULL ? sched_get_zone (sched)->revision : 0;
   reply.task_event.result
       = all_workers_adopted (sched) && !has_pending_start (sched, job)
             ? RST_TASK_DONE
--- a/src/coordination/scheduler.c
+++ b/src/coordination/scheduler.c
@@ -35,13 +35,13 @@
 }
 
 rst_ms
-sched_jitter (struct rst_scheduler *sched, rst_ms base)
+sched_add_jitter (struct rst_scheduler *sched, rst_ms base)
 {
   return base / 2 + g_rand_int_range (sched->random, 0, (gint32)base + 1);
 }
 
 const struct rst_zone *
-sched_zone (const struct rst_scheduler *sched)
+sched_get_zone (const struct rst_scheduler *sched)
 {
   return rst_settings_find_zone_record (sched->settings, sched->config.zone);
 }
@@ -94,7 +94,7 @@
   struct local_message *local = g_new0 (struct local_message, 1);
 
   rst_message_copy (message, &local->message);
-  CK_STAILQ_INSERT_TAIL (&sched->local, local, entry);
+  CK_STAILQ_INSERT_TAIL (&sched->local_messages, local, entry);
 }
 
 bool
@@ -113,13 +113,13 @@
 }
 
 uint64_t
-sched_link_to (struct rst_scheduler *sched, const char *incarnation)
+sched_find_link (struct rst_scheduler *sched, const char *incarnation)
 {
   const struct peer *peer;
 
   if (strcmp (incarnation, sched->incarnation) == 0)
     return SCHED_LINK_SELF;
-  peer = sched_peer_by_incarnation (sched, incarnation);
+  peer = sched_find_peer_by_incarnation (sched, incarnation);
   return peer != NULL ? peer->link : 0;
 }
 
@@ -138,7 +138,7 @@
   sched->random
       = g_rand_new_with_seed_array ((const guint32 *)&config->seed, 2);
   sched->settings = rst_settings_create ();
-  sched->seeds = g_ptr_array_new_with_free_func (g_free);
+  sched->seed_addresses = g_ptr_array_new_with_free_func (g_free);
   sched->alive_members
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   sched->peers
@@ -149,7 +149,7 @@
                                             sched_instance_free);
   sched->owned = g_ptr_array_new ();
   CK_LIST_INIT (&sched->takeovers);
-  CK_STAILQ_INIT (&sched->local);
+  CK_STAILQ_INIT (&sched->local_messages);
   sched->settings_watch.sched = sched;
   sched->settings_watch.prefix = RST_KEY_SETTINGS;
   sched->shared_watch.sched = sched;
@@ -167,9 +167,9 @@
 {
   struct local_message *local;
 
-  while ((local = CK_STAILQ_FIRST (&sched->local)) != NULL)
+  while ((local = CK_STAILQ_FIRST (&sched->local_messages)) != NULL)
     {
-      CK_STAILQ_REMOVE_HEAD (&sched->local, entry);
+      CK_STAILQ_REMOVE_HEAD (&sched->local_messages, entry);
       rst_message_clear (&local->message);
       g_free (local);
     }
@@ -191,9 +191,9 @@
   g_ptr_array_free (sched->owned, TRUE);
   g_hash_table_destroy (sched->peers);
   g_hash_table_destroy (sched->alive_members);
-  g_ptr_array_free (sched->seeds, TRUE);
+  g_ptr_array_free (sched->seed_addresses, TRUE);
   rst_settings_destroy (sched->settings);
-  g_free (sched->zone_writer.text);
+  g_free (sched->zone_writer.written_text);
   g_rand_free (sched->random);
   g_free (sched);
 }
@@ -202,7 +202,7 @@
 rst_scheduler_add_seed_address (struct rst_scheduler *sched,
                                 const char *address)
 {
-  g_ptr_array_add (sched->seeds, g_strdup (address));
+  g_ptr_array_add (sched->seed_addresses, g_strdup (address));
 }
 
 static void
@@ -291,9 +291,9 @@
 {
   struct local_message *local;
 
-  while ((local = CK_STAILQ_FIRST (&sched->local)) != NULL)
+  while ((local = CK_STAILQ_FIRST (&sched->local_messages)) != NULL)
     {
-      CK_STAILQ_REMOVE_HEAD (&sched->local, entry);
+      CK_STAILQ_REMOVE_HEAD (&sched->local_messages, entry);
       dispatch_request_message (sched, SCHED_LINK_SELF, &local->message);
       rst_message_clear (&local->message);
       g_free (local);
@@ -304,7 +304,7 @@
 rst_scheduler_handle_message (struct rst_scheduler *sched, uint64_t link,
                               const struct rst_message *message)
 {
-  struct peer *peer = sched_peer_by_link (sched, link);
+  struct peer *peer = sched_find_peer_by_link (sched, link);
 
   if (peer == NULL)
     return;
@@ -327,7 +327,7 @@
     return;
   if (now - sched->stop_began_at > SCHED_STOP_TIMEOUT_MS)
     sched->stopped = true;
-  if (!busy && sched->handover_done && !sched->zone_writer.busy)
+  if (!busy && sched->handover_done && !sched->zone_writer.write_pending)
     sched->stopped = true;
 }
 
@@ -350,7 +350,7 @@
 void
 rst_scheduler_handle_link_opened (struct rst_scheduler *sched, uint64_t link)
 {
-  struct peer *peer = sched_peer_by_link (sched, link);
+  struct peer *peer = sched_find_peer_by_link (sched, link);
 
   if (peer == NULL)
     {
@@ -365,7 +365,7 @@
 void
 rst_scheduler_handle_link_closed (struct rst_scheduler *sched, uint64_t link)
 {
-  struct peer *peer = sched_peer_by_link (sched, link);
+  struct peer *peer = sched_find_peer_by_link (sched, link);
 
   if (peer != NULL)
     {
@@ -518,7 +518,7 @@
       rst_json_set_number (item, "running", team->run_count);
       rst_json_set_number (item, "waiting", team->queued);
       rst_json_set_number (item, "handed_over", team->handed_over);
-      rst_json_set_bool (item, "limit_write_pending", team->busy);
+      rst_json_set_bool (item, "limit_write_pending", team->write_pending);
       json_object_array_add (list, item);
     }
   return list;
--- a/src/coordination/scheduler_private.h
+++ b/src/coordination/scheduler_private.h
@@ -4,9 +4,8 @@
  *
  * All state belongs to one struct rst_scheduler and is used from its thread
  * only.  Times are in milliseconds of the scheduler's clock.  A member named
- * busy or ..._pending tells that a call is under way and its outcome not
- * known; next_at or ..._next_at is the time before which nothing further is
- * sent.
+ * ..._pending tells that a call is under way and its outcome not known;
+ * next_at or ..._next_at is the time before which nothing further is sent.
  */
 #ifndef RST_SCHEDULER_PRIVATE_H
 #define RST_SCHEDULER_PRIVATE_H
@@ -142,7 +141,7 @@
   const char *prefix;
   uint64_t after_revision;
   bool listed;
-  bool busy;
+  bool call_pending;
   rst_ms next_at;
 };
 
@@ -151,16 +150,16 @@
  * @verify_at: When to read the record again, because the read that was to
  *   settle the outcome has failed; 0 if no read is due.
  * @write_number: Number of the last write; identifies it in the record.
- * @text: The record as it was sent.
+ * @written_text: The record as it was sent.
  * @done: Called with whether the write took effect.
  */
 struct zone_writer
 {
-  bool busy;
+  bool write_pending;
   rst_ms next_at;
   rst_ms verify_at;
   uint64_t write_number;
-  char *text;
+  char *written_text;
   void (*done) (struct rst_scheduler *sched, bool ok);
 };
 
@@ -180,7 +179,7 @@
   uint64_t revision;
   rst_ms noticed_at;
   rst_ms next_at;
-  bool busy;
+  bool call_pending;
   bool fenced;
   CK_LIST_ENTRY (takeover) entry;
 };
@@ -320,7 +319,7 @@
  * @handed_over: Runs on instances handed over whose new owner has not yet
  *   announced that it counts them; they count here until then.
  * @write_number: Number of the last write; identifies it in the record.
- * @text: The record as it was sent.
+ * @written_text: The record as it was sent.
  * @writer: Incarnation that sent it.
  * @verify_at: As in struct zone_writer.
  * @transfers: Shares of the own part to be passed to other members.
@@ -342,9 +341,9 @@
   uint64_t base_revision;
   uint32_t run_count;
   uint32_t handed_over;
-  bool busy;
+  bool write_pending;
   uint64_t write_number;
-  char *text;
+  char *written_text;
   char writer[RST_NAME_SIZE];
   rst_ms next_at;
   rst_ms verify_at;
@@ -475,7 +474,7 @@
   CK_LIST_HEAD (takeover_list, takeover) takeovers;
 
   GHashTable *peers; /* by link */
-  GPtrArray *seeds;  /* addresses */
+  GPtrArray *seed_addresses;
   rst_ms connect_next_at;
   rst_ms promise_next_at;
   rst_ms load_sent_at;
@@ -490,7 +489,7 @@
   GPtrArray *owned;      /* instances that are owned */
 
   GHashTable *teams;           /* by name */
-  GHashTable *records;         /* request records by key */
+  GHashTable *request_records; /* by key */
   GHashTable *recent_messages; /* expiry times by link and id */
   GHashTable *member_history;  /* by incarnation */
   GHashTable *informed_peers;  /* times by incarnation */
@@ -516,7 +515,7 @@
   GPtrArray *dropped_jobs;
   GHashTable *job_forwards;
 
-  CK_STAILQ_HEAD (local_queue, local_message) local;
+  CK_STAILQ_HEAD (local_queue, local_message) local_messages;
 
   bool stopping;
   rst_ms stop_began_at;
@@ -528,17 +527,19 @@
 rst_ms sched_now (const struct rst_scheduler *sched);
 bool sched_send (struct rst_scheduler *sched, uint64_t link,
                  const struct rst_message *message);
-struct peer *sched_peer_by_link (struct rst_scheduler *sched, uint64_t link);
-struct peer *sched_peer_by_incarnation (struct rst_scheduler *sched,
-                                        const char *incarnation);
-uint64_t sched_link_to (struct rst_scheduler *sched, const char *incarnation);
+struct peer *sched_find_peer_by_link (struct rst_scheduler *sched,
+                                      uint64_t link);
+struct peer *sched_find_peer_by_incarnation (struct rst_scheduler *sched,
+                                             const char *incarnation);
+uint64_t sched_find_link (struct rst_scheduler *sched,
+                          const char *incarnation);
 uint64_t sched_next_id (struct rst_scheduler *sched);
 bool sched_is_member (const struct rst_scheduler *sched,
                       const char *incarnation);
 void sched_ignore_reply (const struct rst_platform_reply *reply, void *data);
-rst_ms sched_jitter (struct rst_scheduler *sched, rst_ms base);
+rst_ms sched_add_jitter (struct rst_scheduler *sched, rst_ms base);
 bool sched_may_start (const struct rst_scheduler *sched);
-const struct rst_zone *sched_zone (const struct rst_scheduler *sched);
+const struct rst_zone *sched_get_zone (const struct rst_scheduler *sched);
 
 /* sched_store.c: watches of the store, and writes of the ownership record */
 void sched_store_tick (struct rst_scheduler *sched);
@@ -631,14 +632,14 @@
  * @RECORD_NEW: It may be run.
  * @RECORD_AWAITING_REPLIES: Earlier homes have been asked.
  * @RECORD_IN_DOUBT: A member that cannot be asked may have run it.
- * @RECORD_ELSEWHERE: Another member is its home.
+ * @RECORD_HOME_ELSEWHERE: Another member is its home.
  */
 enum record_check
 {
   RECORD_NEW,
   RECORD_AWAITING_REPLIES,
   RECORD_IN_DOUBT,
-  RECORD_ELSEWHERE,
+  RECORD_HOME_ELSEWHERE,
 };
 void sched_record_init (struct rst_scheduler *sched);
 void sched_record_clear (struct rst_scheduler *sched);
@@ -689,7 +690,7 @@
 void sched_job_check_all_worker_owners (struct rst_scheduler *sched);
 void sched_job_restart_search (struct job *job);
 void sched_job_add_forward (struct rst_scheduler *sched, uint64_t id,
-                            uint64_t to, uint64_t link,
+                            uint64_t owner_link, uint64_t caller_link,
                             uint64_t caller_request_id);
 void sched_job_add_status (struct rst_scheduler *sched,
                            struct json_object *root);
--- a/src/protocol/platform.c
+++ b/src/protocol/platform.c
@@ -11,7 +11,7 @@
       return "conflict";
     case RST_PLATFORM_NOT_FOUND:
       return "not-found";
-    case RST_PLATFORM_REFUSED:
+    case RST_PLATFORM_REJECTED:
       return "refused";
     case RST_PLATFORM_FENCED:
       return "fenced";
--- a/src/protocol/platform.h
+++ b/src/protocol/platform.h
@@ -21,7 +21,7 @@
  * @RST_PLATFORM_OK: The call succeeded.
  * @RST_PLATFORM_CONFLICT: The key does not have the expected revision.
  * @RST_PLATFORM_NOT_FOUND: The key, lease or run does not exist.
- * @RST_PLATFORM_REFUSED: The instance rejected the call without effect.
+ * @RST_PLATFORM_REJECTED: The instance rejected the call without effect.
  * @RST_PLATFORM_FENCED: The instance has seen a higher epoch and rejected the
  *   call without effect.
  * @RST_PLATFORM_NOT_SENT: The call was not sent.
@@ -33,7 +33,7 @@
   RST_PLATFORM_OK = 0,
   RST_PLATFORM_CONFLICT,
   RST_PLATFORM_NOT_FOUND,
-  RST_PLATFORM_REFUSED,
+  RST_PLATFORM_REJECTED,
   RST_PLATFORM_FENCED,
   RST_PLATFORM_NOT_SENT,
   RST_PLATFORM_UNKNOWN,
--- a/src/protocol/platform_http.c
+++ b/src/protocol/platform_http.c
@@ -215,7 +215,7 @@
   if (status == 404)
     return RST_PLATFORM_NOT_FOUND;
   if (status == 409 || status == 503 || (status >= 400 && status < 500))
-    return RST_PLATFORM_REFUSED;
+    return RST_PLATFORM_REJECTED;
   return RST_PLATFORM_UNKNOWN;
 }
 
--- a/test/fuzz/world.cc
+++ b/test/fuzz/world.cc
@@ -230,7 +230,7 @@
 {
   Reply reply;
 
-  reply.result = RST_PLATFORM_REFUSED;
+  reply.result = RST_PLATFORM_REJECTED;
   reply.status = 503;
   return reply;
 }
@@ -382,7 +382,7 @@
         if (epoch < instance->epoch)
           return make_fenced_reply ();
         instance->epoch = epoch;
-        rejection.result = RST_PLATFORM_REFUSED;
+        rejection.result = RST_PLATFORM_REJECTED;
         if (instance->tombstones.count (info.id) > 0)
           return rejection;
         if (instance->tasks.count (info.id) > 0)
