--- a/src/cell/agent.c
+++ b/src/cell/agent.c
@@ -124,12 +124,12 @@
 pack_run (struct rst_pack *pack, const struct rst_run *run)
 {
   rst_pack_array (pack, 7);
-  rst_pack_int (pack, run->number);
+  rst_pack_int (pack, run->end_number);
   rst_pack_text (pack, run->task);
   rst_pack_int (pack, run->attempt);
   rst_pack_int (pack, run->end_reason);
   rst_pack_text (pack, run->checkpoint);
-  rst_pack_int (pack, run->percent);
+  rst_pack_int (pack, run->progress_percent);
   rst_pack_int (pack, run->usage);
 }
 
@@ -180,7 +180,7 @@
   for (guint i = 0; i < answer->runs->len; i++)
     held->last_listed
         = MAX (held->last_listed,
-               g_array_index (answer->runs, struct rst_run, i).number);
+               g_array_index (answer->runs, struct rst_run, i).end_number);
 }
 
 static void
@@ -433,8 +433,8 @@
   order->agent = agent;
   order->kind = RST_MSG_PACE;
   held = read_order (order, reader, &call);
-  call.has_percent = true;
-  call.percent = (int)rst_reader_read_int (reader);
+  call.has_pace = true;
+  call.pace_percent = (int)rst_reader_read_int (reader);
   if (held == NULL || reader->bad)
     {
       g_free (order);
--- a/src/cell/backend.h
+++ b/src/cell/backend.h
@@ -109,39 +109,39 @@
  * @key: The key.
  * @value: New value; NULL leaves the value as it is.
  * @length: Length of @value in bytes.
- * @expected: Revision that the key must have; 0 when it must not exist, -1
- *   for no condition.
- * @remove: Whether to delete the key.
+ * @expected_revision: Revision that the key must have; 0 when it must not
+ *   exist, -1 for no condition.
+ * @is_removal: Whether the key is deleted.
  */
 struct rst_store_write
 {
   const char *key;
   const void *value;
   size_t length;
-  int64_t expected;
-  bool remove;
+  int64_t expected_revision;
+  bool is_removal;
 };
 
 /**
  * struct rst_run - A run that an instance lists as running or ended.
- * @number: Sequence number of the run's end; 0 while it runs.
+ * @end_number: Sequence number of the run's end; 0 while it runs.
  * @task: Name of the task.
  * @attempt: Attempt of the task that this run is.
  * @end_reason: Why the run ended; a value of enum rst_end.
  * @checkpoint: Last checkpoint, or "".
- * @percent: Progress of a run that has not ended.
+ * @progress_percent: Progress of a run that has not ended.
  * @usage: Measured over the last half second of a run that has not ended:
  *   the response time of a long-running task in milliseconds; the processor
  *   use of any other task in thousandths of a core.
  */
 struct rst_run
 {
-  int64_t number;
+  int64_t end_number;
   char task[RST_TASK_NAME_SIZE];
   int attempt;
   int end_reason;
   char checkpoint[RST_TOKEN_SIZE];
-  int percent;
+  int progress_percent;
   int64_t usage;
 };
 
@@ -202,8 +202,8 @@
  * @last_seen: Ends up to this number are stored, so the instance may forget
  *   them.
  * @wait_ms: How long a poll may wait for a run to end.
- * @has_percent: Whether @percent is set.
- * @percent: Pace of the run, in percent of full speed.
+ * @has_pace: Whether @pace_percent is set.
+ * @pace_percent: Pace of the run, in percent of full speed.
  */
 struct rst_instance_call
 {
@@ -218,8 +218,8 @@
   int64_t deadline_ms;
   int64_t last_seen;
   int64_t wait_ms;
-  bool has_percent;
-  int percent;
+  bool has_pace;
+  int pace_percent;
 };
 
 /**
--- a/src/cell/cellconfig.h
+++ b/src/cell/cellconfig.h
@@ -17,8 +17,8 @@
  * @pool: Pool of instances that run its tasks.
  * @priority: Priority; 0 is the highest.
  * @max_failures: Number of failed runs of one task at which its job fails.
- * @slack: Factor of the objective: the objective of a job is its critical
- *   path times this, in thousandths, plus @target_ms.
+ * @slack_permille: Factor of the objective, in thousandths: the objective of a
+ *   job is its critical path times this factor, plus @target_ms.
  * @target_ms: Constant part of the objective.
  * @is_public: Whether jobs are accepted without a key.
  * @needs_approval: Whether a step may run only on instances that the advice
@@ -36,7 +36,7 @@
   char *pool;
   int priority;
   int max_failures;
-  int64_t slack;
+  int64_t slack_permille;
   int64_t target_ms;
   bool is_public;
   bool needs_approval;
--- a/src/cell/plan_instances.c
+++ b/src/cell/plan_instances.c
@@ -6,8 +6,8 @@
 /** How long an instance is kept after its entry was removed. */
 #define UNREGISTERED_RETENTION_MS 30000
 
-/** Added to the time left of a lease, for the time that messages take; clocks
-    that run up to 2 % slow are allowed for by a factor of 102 %. */
+/** Added to the time left of a lease for the time that messages take, besides
+    the factor RST_SLOW_CLOCK_PERCENT. */
 #define LEASE_MARGIN_MS 300
 
 /** How long the answer to a start order may take after its agent has
@@ -46,7 +46,8 @@
 get_latest_lease_expiry (const struct rst_planner *planner)
 {
   return planner->now + planner->timing.unconfirmed_renewal_ms
-         + planner->timing.lease_ms * 102 / 100 + LEASE_MARGIN_MS;
+         + planner->timing.lease_ms * RST_SLOW_CLOCK_PERCENT / 100
+         + LEASE_MARGIN_MS;
 }
 
 struct instance *
@@ -361,12 +362,12 @@
   struct rst_reader row = rst_reader_read_array (reader);
   struct rst_run run = { 0 };
 
-  run.number = rst_reader_read_int (&row);
+  run.end_number = rst_reader_read_int (&row);
   rst_reader_copy_text (&row, run.task, sizeof run.task);
   run.attempt = (int)rst_reader_read_int (&row);
   run.end_reason = (int)rst_reader_read_int (&row);
   rst_reader_copy_text (&row, run.checkpoint, sizeof run.checkpoint);
-  run.percent = (int)rst_reader_read_int (&row);
+  run.progress_percent = (int)rst_reader_read_int (&row);
   run.usage = rst_reader_read_int (&row);
   reader->bad |= row.bad;
   return run;
@@ -413,7 +414,7 @@
     }
   run = rst_plan_run_new (planner, task, instance, listed->attempt);
   rst_plan_run_mark_started (run);
-  run->percent = listed->percent;
+  run->progress_percent = listed->progress_percent;
   task->step->gang_attempt = MAX (task->step->gang_attempt, listed->attempt);
   if (rst_plan_job_has_ended (job)
       || (!planner->has_inherited && task->step->spec->gang))
@@ -433,9 +434,9 @@
     }
   rst_plan_run_mark_started (run);
   run->from_journal = false;
-  if (listed->percent != run->percent)
+  if (listed->progress_percent != run->progress_percent)
     run->progressed_at = planner->now;
-  run->percent = listed->percent;
+  run->progress_percent = listed->progress_percent;
   run->usage = listed->usage;
   if (listed->checkpoint[0] != '\0' && run->task->step->spec->has_checkpoints)
     {
@@ -484,14 +485,15 @@
 
       if (runs->bad)
         break;
-      if (run.number == 0)
+      if (run.end_number == 0)
         {
           g_hash_table_add (listed, g_strdup (run.task));
           update_listed_run (planner, instance, &run);
         }
-      else if (run.number > last_seen_end)
+      else if (run.end_number > last_seen_end)
         {
-          instance->last_seen_end = MAX (instance->last_seen_end, run.number);
+          instance->last_seen_end
+              = MAX (instance->last_seen_end, run.end_number);
           rst_plan_apply_end (planner, instance, &run);
           planner->acks_pending = true;
         }
@@ -571,7 +573,8 @@
                     "instance", id, "result", rst_result_name (result));
           instance->runs_known = false;
           instance->lease_expires_at
-              = planner->now + lease_left * 102 / 100 + LEASE_MARGIN_MS;
+              = planner->now + lease_left * RST_SLOW_CLOCK_PERCENT / 100
+                + LEASE_MARGIN_MS;
         }
       return;
     }
--- a/src/cell/plan_journal.c
+++ b/src/cell/plan_journal.c
@@ -35,7 +35,7 @@
   if (job->dirty)
     return;
   job->dirty = true;
-  g_ptr_array_add (planner->dirty, job);
+  g_ptr_array_add (planner->dirty_jobs, job);
 }
 
 void
@@ -268,9 +268,10 @@
 {
   guint count = 0;
 
-  while (count < planner->dirty->len && pack->buffer.size < SEGMENT_BYTES_MAX)
+  while (count < planner->dirty_jobs->len
+         && pack->buffer.size < SEGMENT_BYTES_MAX)
     {
-      struct job *job = g_ptr_array_index (planner->dirty, count++);
+      struct job *job = g_ptr_array_index (planner->dirty_jobs, count++);
 
       rst_plan_pack_job (planner, pack, job);
       job->dirty = false;
@@ -279,10 +280,10 @@
       if (job->full_record_segment == 0 || job->needs_full_record)
         job->full_record_segment = planner->next_segment;
       job->needs_full_record = false;
-      g_ptr_array_add (planner->committing, job);
+      g_ptr_array_add (planner->committing_jobs, job);
     }
   if (count > 0)
-    g_ptr_array_remove_range (planner->dirty, 0, count);
+    g_ptr_array_remove_range (planner->dirty_jobs, 0, count);
   return count;
 }
 
@@ -335,17 +336,17 @@
       rst_plan_send_acks (planner);
     }
   if (planner->commit_busy
-      || planner->now - planner->last_commit < COMMIT_INTERVAL_MS)
+      || planner->now - planner->last_commit_at < COMMIT_INTERVAL_MS)
     return;
-  has_changes = planner->dirty->len > 0
+  has_changes = planner->dirty_jobs->len > 0
                 || pack_instances_and_queues (planner, NULL) > 0;
   if (!has_changes && !planner->acks_pending)
     return;
-  planner->last_commit = planner->now;
+  planner->last_commit_at = planner->now;
   if (has_changes)
     commit_segment (planner);
   /* An end is not stored while its job waits for the next segment. */
-  planner->acks_pending = planner->dirty->len > 0;
+  planner->acks_pending = planner->dirty_jobs->len > 0;
   if (!planner->acks_pending)
     mark_ends_committing (planner);
   /* No commit is needed before these ends are acknowledged. */
@@ -391,16 +392,16 @@
   planner->commit_busy = false;
   planner->changed = true;
   rst_histogram_add (&planner->stats.commit_ms,
-                     planner->now - planner->last_commit);
+                     planner->now - planner->last_commit_at);
   confirm_instance_records (planner);
-  for (guint i = 0; i < planner->committing->len; i++)
+  for (guint i = 0; i < planner->committing_jobs->len; i++)
     {
-      struct job *job = g_ptr_array_index (planner->committing, i);
+      struct job *job = g_ptr_array_index (planner->committing_jobs, i);
 
       job->stored = true;
       job->committed_state = job->committing_state;
       rst_plan_reply_committed (planner, job);
     }
-  g_ptr_array_set_size (planner->committing, 0);
+  g_ptr_array_set_size (planner->committing_jobs, 0);
   rst_plan_send_acks (planner);
 }
--- a/src/cell/plan_pace.c
+++ b/src/cell/plan_pace.c
@@ -73,7 +73,7 @@
   rst_pack_text (&pack, instance->entry.id);
   rst_pack_text (&pack, run->name);
   rst_pack_int (&pack, run->attempt);
-  rst_pack_int (&pack, run->pace);
+  rst_pack_int (&pack, run->pace_percent);
   rst_plan_send (planner, instance->agent->link, &pack);
   planner->stats.pace_orders++;
 }
@@ -86,7 +86,7 @@
 
   if (!rst_log_enabled (G_LOG_LEVEL_INFO))
     return;
-  g_snprintf (pace_text, sizeof pace_text, "%d", run->pace);
+  g_snprintf (pace_text, sizeof pace_text, "%d", run->pace_percent);
   g_snprintf (load_text, sizeof load_text, "%" PRId64, load);
   rst_info (RST_PLAN_LOG, "Pace of a best-effort run changed.", "task",
             run->name, "instance", run->instance->entry.id, "percent",
@@ -98,17 +98,17 @@
 static void
 adjust_run_pace (struct rst_planner *planner, struct run *run, int64_t load)
 {
-  int next = rst_pace_adjust (run->pace, load);
+  int next = rst_pace_adjust (run->pace_percent, load);
 
   if (planner->now - run->pace_sent_at < RST_PACE_INTERVAL_MS
-      || (next == run->pace && next == RST_PACE_FULL_PERCENT))
+      || (next == run->pace_percent && next == RST_PACE_FULL_PERCENT))
     return;
   run->pace_sent_at = planner->now;
   /* A slowed run is not stopped as stalled. */
   run->progressed_at = planner->now;
-  if (next != run->pace)
+  if (next != run->pace_percent)
     {
-      run->pace = next;
+      run->pace_percent = next;
       log_pace (run, load);
     }
   send_pace (planner, run);
--- a/src/cell/plan_place.c
+++ b/src/cell/plan_place.c
@@ -129,9 +129,9 @@
   const struct job *job = step->occurrence->job;
   const struct rst_queue *queue = &job->queue->settings;
 
-  step->objective_ms
-      = (int64_t)(get_critical_path_ms (job) * (double)queue->slack / 1000.0)
-        + queue->target_ms;
+  step->objective_ms = (int64_t)(get_critical_path_ms (job)
+                                 * (double)queue->slack_permille / 1000.0)
+                       + queue->target_ms;
   step->start_by_ms = step->occurrence->due_ms + step->objective_ms
                       - (int64_t)get_remaining_path_ms (step);
 }
--- a/src/cell/plan_record.c
+++ b/src/cell/plan_record.c
@@ -165,7 +165,7 @@
   rst_pack_text (pack, queue->settings.pool);
   rst_pack_int (pack, queue->settings.priority);
   rst_pack_int (pack, queue->settings.max_failures);
-  rst_pack_int (pack, queue->settings.slack);
+  rst_pack_int (pack, queue->settings.slack_permille);
   rst_pack_int (pack, queue->settings.target_ms);
   rst_pack_int (
       pack, queue->settings.needs_approval ? queue->settings.advice_ms : -1);
--- a/src/cell/plan_restore.c
+++ b/src/cell/plan_restore.c
@@ -261,10 +261,10 @@
   discard_runs (planner, instance);
   instance->recorded = false;
   instance->inherited = false;
-  /* The instance's clock may run 2 % slow. */
   instance->lease_expires_at = MIN (
       instance->lease_expires_at,
-      planner->now + MAX (lease_left_ms, 0) * 102 / 100 + CLOCK_SKEW_MAX_MS);
+      planner->now + MAX (lease_left_ms, 0) * RST_SLOW_CLOCK_PERCENT / 100
+          + CLOCK_SKEW_MAX_MS);
   for (uint32_t i = 0; i < rows.count; i++)
     restore_run (planner, instance, &rows);
   in->bad |= rows.bad;
@@ -280,7 +280,7 @@
   queue->settings.pool = rst_reader_read_text (in);
   queue->settings.priority = (int)rst_reader_read_int (in);
   queue->settings.max_failures = (int)rst_reader_read_int (in);
-  queue->settings.slack = rst_reader_read_int (in);
+  queue->settings.slack_permille = rst_reader_read_int (in);
   queue->settings.target_ms = rst_reader_read_int (in);
   queue->settings.advice_ms = rst_reader_read_int (in);
   queue->settings.needs_approval = queue->settings.advice_ms >= 0;
--- a/src/cell/plan_runs.c
+++ b/src/cell/plan_runs.c
@@ -57,7 +57,7 @@
   run->attempt = attempt;
   run->start_sent_at = planner->now;
   run->progressed_at = planner->now;
-  run->pace = RST_PACE_FULL_PERCENT;
+  run->pace_percent = RST_PACE_FULL_PERCENT;
   run->customer = job->customer;
   task->run = run;
   task->attempt = MAX (task->attempt, attempt);
--- a/src/cell/planner.c
+++ b/src/cell/planner.c
@@ -62,8 +62,8 @@
   planner->agents = g_ptr_array_new_with_free_func (g_free);
   planner->waiting_steps = g_ptr_array_new ();
   planner->repeating_jobs = g_ptr_array_new ();
-  planner->dirty = g_ptr_array_new ();
-  planner->committing = g_ptr_array_new ();
+  planner->dirty_jobs = g_ptr_array_new ();
+  planner->committing_jobs = g_ptr_array_new ();
   planner->schedulable_instances = g_ptr_array_new ();
   planner->candidates = g_ptr_array_new ();
   planner->unmet_needs
@@ -94,8 +94,8 @@
   g_ptr_array_free (planner->agents, TRUE);
   g_ptr_array_free (planner->waiting_steps, TRUE);
   g_ptr_array_free (planner->repeating_jobs, TRUE);
-  g_ptr_array_free (planner->dirty, TRUE);
-  g_ptr_array_free (planner->committing, TRUE);
+  g_ptr_array_free (planner->dirty_jobs, TRUE);
+  g_ptr_array_free (planner->committing_jobs, TRUE);
   g_ptr_array_free (planner->schedulable_instances, TRUE);
   g_ptr_array_free (planner->candidates, TRUE);
   g_array_free (planner->unmet_needs, TRUE);
@@ -286,7 +286,7 @@
   else if (planner->changed)
     wake = MIN (wake, planner->next_pass_at);
   rst_plan_commit (planner);
-  if (planner->dirty->len > 0 && !planner->commit_busy)
+  if (planner->dirty_jobs->len > 0 && !planner->commit_busy)
     wake = MIN (wake, planner->now + PASS_INTERVAL_MS);
   return wake;
 }
--- a/src/cell/planner_private.h
+++ b/src/cell/planner_private.h
@@ -27,6 +27,10 @@
 /** Number of a task's failed runs whose attempts are remembered. */
 #define RST_FAILED_RUNS_MAX 16
 
+/** Longest time that a lease lasts by the planner's clock, in percent of its
+ * time by the instance's clock, which may run 2 % slow. */
+#define RST_SLOW_CLOCK_PERCENT 102
+
 /** Flag of a task in the journal: the task is done. */
 #define RST_TASK_DONE_FLAG 1
 
@@ -160,15 +164,15 @@
   /* Whether only the journal says that the instance, while unreachable, may
      still have this run. */
   bool from_journal;
-  int percent;
-  /* When percent last changed. */
+  int progress_percent;
+  /* When progress_percent last changed. */
   rst_ms progressed_at;
   /* As last reported: the response time in ms of a task with a response
      bound, or thousandths of a core in use. */
   int64_t usage;
   /* Percentage of its full pace at which it may work; below 100 only for
      best-effort tasks. */
-  int pace;
+  int pace_percent;
   rst_ms pace_sent_at;
   struct customer *customer;
 };
@@ -379,10 +383,10 @@
   /* Jobs of which occurrences are still to begin. */
   GPtrArray *repeating_jobs;
   /* Jobs that changed since their last record. */
-  GPtrArray *dirty;
-  GPtrArray *committing;
+  GPtrArray *dirty_jobs;
+  GPtrArray *committing_jobs;
   bool commit_busy;
-  rst_ms last_commit;
+  rst_ms last_commit_at;
   int64_t next_segment;
   /* Set of the numbers of the journal's segments. */
   GHashTable *segments;
--- a/src/daemon/cell_node.c
+++ b/src/daemon/cell_node.c
@@ -221,7 +221,7 @@
 }
 
 bool
-rst_cell_node_is_planner (const struct rst_cell_node *node)
+rst_cell_node_has_term (const struct rst_cell_node *node)
 {
   return node->term != NULL && !node->term_ended;
 }
@@ -229,8 +229,8 @@
 const struct rst_planner *
 rst_cell_node_get_planner (const struct rst_cell_node *node)
 {
-  return rst_cell_node_is_planner (node) ? rst_term_get_planner (node->term)
-                                         : NULL;
+  return rst_cell_node_has_term (node) ? rst_term_get_planner (node->term)
+                                       : NULL;
 }
 
 struct rst_cell_node *
--- a/src/daemon/cell_node.h
+++ b/src/daemon/cell_node.h
@@ -85,9 +85,9 @@
  * timed out. */
 bool rst_cell_node_is_stopped (const struct rst_cell_node *node);
 
-/** rst_cell_node_is_planner() - Whether the node has a term, which it may
- * still be trying to win. */
-bool rst_cell_node_is_planner (const struct rst_cell_node *node);
+/** rst_cell_node_has_term() - Whether the node has a term, also while its
+ * takeover is still being tried. */
+bool rst_cell_node_has_term (const struct rst_cell_node *node);
 
 /** rst_cell_node_get_planner() - Returns the node's planner, or NULL. */
 const struct rst_planner *
--- a/src/daemon/term.c
+++ b/src/daemon/term.c
@@ -121,20 +121,20 @@
   writes[0].key = RST_PLANNER_RECORD_KEY;
   writes[0].value = pack.buffer.data;
   writes[0].length = pack.buffer.size;
-  writes[0].expected = term->revision;
+  writes[0].expected_revision = term->revision;
   if (term->current_change.segment != NULL)
     {
       writes[count].key = term->current_change.segment_key;
       writes[count].value = term->current_change.segment->data;
       writes[count].length = term->current_change.segment->len;
-      writes[count].expected = -1;
+      writes[count].expected_revision = -1;
       count++;
     }
   for (int i = 0; i < term->current_change.removed_count; i++)
     {
       writes[count].key = term->current_change.removed_keys[i];
-      writes[count].expected = -1;
-      writes[count].remove = true;
+      writes[count].expected_revision = -1;
+      writes[count].is_removal = true;
       count++;
     }
   term->commit_in_flight = true;
--- a/test/cell/store.cc
+++ b/test/cell/store.cc
@@ -251,10 +251,11 @@
   bool late = chance () < faults.late_commit;
 
   for (int i = 0; i < count; i++)
-    copy.push_back (Write{
-        writes[i].key,
-        std::string ((const char *)writes[i].value, writes[i].length),
-        writes[i].expected, writes[i].remove, writes[i].value != nullptr });
+    copy.push_back (
+        Write{ writes[i].key,
+               std::string ((const char *)writes[i].value, writes[i].length),
+               writes[i].expected_revision, writes[i].is_removal,
+               writes[i].value != nullptr });
   auto apply = [this, copy] (rst_store_answer *answer) {
     bool hold = conditions_hold (store, copy);
 
--- a/test/cell/workers.cc
+++ b/test/cell/workers.cc
@@ -54,7 +54,7 @@
 {
   rst_run run = {};
 
-  run.number = number;
+  run.end_number = number;
   g_strlcpy (run.task, task.c_str (), sizeof run.task);
   run.attempt = attempt;
   run.end_reason = end_reason;
--- a/test/cell/world.cc
+++ b/test/cell/world.cc
@@ -236,7 +236,7 @@
 World::planner ()
 {
   for (auto &node : nodes)
-    if (node->node != nullptr && rst_cell_node_is_planner (node->node))
+    if (node->node != nullptr && rst_cell_node_has_term (node->node))
       return node.get ();
   return nullptr;
 }
--- a/test/replay/model.cc
+++ b/test/replay/model.cc
@@ -203,7 +203,7 @@
         queue->pool = g_strdup ("pool");
         queue->max_failures = 3;
         queue->priority = kind.priority;
-        queue->slack = (int64_t)(kind.slack * 1000);
+        queue->slack_permille = (int64_t)(kind.slack * 1000);
         queue->target_ms = kind.target_ms;
         queue->needs_approval = true;
         queue->advice_ms = kind.advice_ms;
@@ -410,7 +410,8 @@
         const Run &run = entry.second;
 
         runs.push_back (Planner::running (entry.first, run.attempt));
-        runs.back ().percent = (int)((now_ - run.started_at) * 100 / run.ms);
+        runs.back ().progress_percent
+            = (int)((now_ - run.started_at) * 100 / run.ms);
       }
     for (const rst_run &end : instances_[id].ends)
       runs.push_back (end);
@@ -432,7 +433,7 @@
   {
     std::vector<rst_run> &ends = instances_[message.id].ends;
 
-    while (!ends.empty () && ends.front ().number <= message.number)
+    while (!ends.empty () && ends.front ().end_number <= message.number)
       ends.erase (ends.begin ());
   }
 
--- a/test/unit/adapter_test.cc
+++ b/test/unit/adapter_test.cc
@@ -15,14 +15,14 @@
   writes[0].key = "a";
   writes[0].value = "x";
   writes[0].length = 1;
-  writes[0].expected = 7;
+  writes[0].expected_revision = 7;
   writes[1].key = "b";
   writes[1].value = "y";
   writes[1].length = 1;
-  writes[1].expected = -1;
+  writes[1].expected_revision = -1;
   writes[2].key = "c";
-  writes[2].expected = -1;
-  writes[2].remove = true;
+  writes[2].expected_revision = -1;
+  writes[2].is_removal = true;
   char *body = rst_platform_format_transaction (writes, 3);
 
   EXPECT_STREQ (body, "{\"expected_rev\":[{\"key\":\"a\",\"revision\":7}],"
@@ -57,7 +57,7 @@
   call.fence = 3;
   call.task = "t";
   call.attempt = 2;
-  call.has_percent = true;
+  call.has_pace = true;
   char *body = rst_platform_format_order (&call);
 
   EXPECT_STREQ (body, "{\"fencing_token\":3,\"task\":\"t\",\"attempt\":2,"
@@ -82,10 +82,10 @@
   EXPECT_EQ (answer->clock_ms, 9);
   EXPECT_EQ (answer->incarnation, 4);
   EXPECT_STREQ (first.task, "t1");
-  EXPECT_EQ (first.number, 0);
-  EXPECT_EQ (first.percent, 41);
+  EXPECT_EQ (first.end_number, 0);
+  EXPECT_EQ (first.progress_percent, 41);
   EXPECT_EQ (first.usage, 7);
-  EXPECT_EQ (second.number, 58);
+  EXPECT_EQ (second.end_number, 58);
   EXPECT_EQ (second.end_reason, RST_END_FAILED);
   EXPECT_STREQ (second.checkpoint, "d");
   EXPECT_EQ (third.end_reason, RST_END_GANG_INCOMPLETE);
@@ -124,7 +124,7 @@
   ASSERT_NE (queue, nullptr);
   EXPECT_STREQ (queue->name, "r");
   EXPECT_STREQ (rest, "x");
-  EXPECT_EQ (queue->slack, 2200);
+  EXPECT_EQ (queue->slack_permille, 2200);
   EXPECT_EQ (queue->advice_per_instance_us, 7900);
   EXPECT_STREQ (
       rst_cellconfig_route (config, "h.example", "/a/b/x", &rest)->name,
--- a/test/unit/agent_test.cc
+++ b/test/unit/agent_test.cc
@@ -46,7 +46,7 @@
                        rst_instance_done done, void *data) {
       auto *self = static_cast<Agent *> (userdata);
 
-      self->pace_percents.push_back (call->percent);
+      self->pace_percents.push_back (call->pace_percent);
       self->calls.push_back (AgentCall{ false, 0, 0, 0, done, data });
     };
     config.backend = &backend;
@@ -108,7 +108,7 @@
     answer->result = result;
     answer->clock_ms = clock;
     answer->incarnation = incarnation;
-    run.number = end;
+    run.end_number = end;
     if (end > 0)
       g_array_append_val (answer->runs, run);
     call.done (answer, call.data);
--- a/test/unit/cell_harness.h
+++ b/test/unit/cell_harness.h
@@ -103,7 +103,7 @@
     queue->prefix = g_strdup ("/q/");
     queue->pool = g_strdup ("pool");
     queue->max_failures = 3;
-    queue->slack = 3000;
+    queue->slack_permille = 3000;
     queue->target_ms = 500;
     queue->needs_approval = needs_approval;
     queue->advice_ms = 10;
@@ -175,12 +175,12 @@
     for (const rst_run &run : runs)
       {
         rst_pack_array (&pack, 7);
-        rst_pack_int (&pack, run.number);
+        rst_pack_int (&pack, run.end_number);
         rst_pack_text (&pack, run.task);
         rst_pack_int (&pack, run.attempt);
         rst_pack_int (&pack, run.end_reason);
         rst_pack_text (&pack, run.checkpoint);
-        rst_pack_int (&pack, run.percent);
+        rst_pack_int (&pack, run.progress_percent);
         rst_pack_int (&pack, run.usage);
       }
     deliver (link, RST_MSG_REPORT, &pack);
@@ -366,7 +366,7 @@
   {
     rst_run run = running (task, attempt);
 
-    run.number = number;
+    run.end_number = number;
     run.end_reason = end_reason;
     return run;
   }
--- a/test/unit/journal_test.cc
+++ b/test/unit/journal_test.cc
@@ -37,7 +37,7 @@
     {
       rst_run run = Planner::running (task_a0, 1);
 
-      run.percent = i % 100;
+      run.progress_percent = i % 100;
       predecessor.report (1, lost, { run });
       add_segments (predecessor, i);
     }
--- a/test/unit/pace_test.cc
+++ b/test/unit/pace_test.cc
@@ -56,7 +56,7 @@
     rst_run best_effort = Planner::running (best_effort_task, 1);
 
     long_running.usage = response_ms;
-    long_running.percent = 100;
+    long_running.progress_percent = 100;
     best_effort.usage = 900;
     cell.advance_time (RST_PACE_INTERVAL_MS);
     cell.report (1, "i-0", { long_running, best_effort });
