--- a/test/replay/model.cc
+++ b/test/replay/model.cc
@@ -304,13 +304,13 @@
                     + kind.target_ms;
     result_.kinds[kind.name].jobs++;
     result_.kinds[kind.name].work += job.work;
-    rst_jobdesc *desc = Planner::job (job.tasks, kind.cpu, job.gang);
+    rst_jobdesc *desc = Planner::make_job (job.tasks, kind.cpu, job.gang);
 
     desc->steps[0].need.memory = kind.memory;
     desc->steps[0].estimate_ms = kind.ms;
     jobs_[id] = job;
-    cell_.call (next_job_, RST_OPERATION_SUBMIT, id, desc, customer.c_str (),
-                ("/" + kind.name + "/").c_str ());
+    cell_.send_call (next_job_, RST_OPERATION_SUBMIT, id, desc,
+                     customer.c_str (), ("/" + kind.name + "/").c_str ());
   }
 
   void
@@ -356,8 +356,8 @@
     instances_[message.id].runs[message.task]
         = Run{ message.attempt, now_, job.ms[index] };
     busy_cpu_ += job.kind->cpu;
-    cell_.answer (message.link, RST_MSG_STARTED, message.id, message.task,
-                  message.attempt, RST_RESULT_OK);
+    cell_.answer_order (message.link, RST_MSG_STARTED, message.id,
+                        message.task, message.attempt, RST_RESULT_OK);
     at (now_ + job.ms[index],
         [this, message] { end (message, RST_END_DONE); });
   }
@@ -365,8 +365,8 @@
   void
   stop (const Sent &message)
   {
-    cell_.answer (message.link, RST_MSG_STOPPED, message.id, message.task,
-                  message.attempt, RST_RESULT_OK);
+    cell_.answer_order (message.link, RST_MSG_STOPPED, message.id,
+                        message.task, message.attempt, RST_RESULT_OK);
     end (message, RST_END_STOPPED);
   }
 
@@ -382,8 +382,8 @@
       return;
     instance.runs.erase (found);
     busy_cpu_ -= job.kind->cpu;
-    instance.ends.push_back (Planner::ended (instance.next_end++, message.task,
-                                             message.attempt, end_reason));
+    instance.ends.push_back (Planner::make_ended_run (
+        instance.next_end++, message.task, message.attempt, end_reason));
     report (message.id);
     if (end_reason == RST_END_DONE && --job.left == 0)
       finish (job);
@@ -409,7 +409,7 @@
       {
         const Run &run = entry.second;
 
-        runs.push_back (Planner::running (entry.first, run.attempt));
+        runs.push_back (Planner::make_running_run (entry.first, run.attempt));
         runs.back ().progress_percent
             = (int)((now_ - run.started_at) * 100 / run.ms);
       }
@@ -456,7 +456,7 @@
           < kind.approval * 1000)
         approved.push_back (id);
     at (free_at, [this, message, approved] {
-      cell_.advice (message.link, message.number, approved);
+      cell_.send_advice (message.link, message.number, approved);
     });
   }
 
--- a/test/unit/cell_harness.h
+++ b/test/unit/cell_harness.h
@@ -186,9 +186,11 @@
     deliver (link, RST_MSG_REPORT, &pack);
   }
 
+  // Delivers an agent's answer to an order;  is RST_MSG_STARTED or another
+  // answer.
   void
-  answer (uint64_t link, int kind, const std::string &id,
-          const std::string &task, int attempt, rst_result result)
+  answer_order (uint64_t link, int kind, const std::string &id,
+                const std::string &task, int attempt, rst_result result)
   {
     rst_pack pack;
 
@@ -202,9 +204,10 @@
     deliver (link, kind, &pack);
   }
 
+  // Delivers an agent's answer to an advice request.
   void
-  advice (uint64_t link, int64_t handle,
-          const std::vector<std::string> &approved)
+  send_advice (uint64_t link, int64_t handle,
+               const std::vector<std::string> &approved)
   {
     rst_pack pack;
 
@@ -222,7 +225,7 @@
   }
 
   static rst_jobdesc *
-  job (int tasks, int64_t cpu, bool gang = false, int steps = 1)
+  make_job (int tasks, int64_t cpu, bool gang = false, int steps = 1)
   {
     rst_jobdesc *desc = rst_jobdesc_create (steps);
 
@@ -246,10 +249,11 @@
     return desc;
   }
 
+  // Delivers a caller's request; the reply has .
   void
-  call (uint64_t number, rst_operation operation, const std::string &id,
-        rst_jobdesc *desc = nullptr, const char *key = "k",
-        const char *prefix = "/q/")
+  send_call (uint64_t number, rst_operation operation, const std::string &id,
+             rst_jobdesc *desc = nullptr, const char *key = "k",
+             const char *prefix = "/q/")
   {
     struct rst_planner_call request = {};
     std::string path = prefix + id;
@@ -351,7 +355,7 @@
   }
 
   static rst_run
-  running (const std::string &task, int attempt)
+  make_running_run (const std::string &task, int attempt)
   {
     rst_run run = {};
 
@@ -361,10 +365,10 @@
   }
 
   static rst_run
-  ended (int64_t number, const std::string &task, int attempt,
-         rst_end end_reason)
+  make_ended_run (int64_t number, const std::string &task, int attempt,
+                  rst_end end_reason)
   {
-    rst_run run = running (task, attempt);
+    rst_run run = make_running_run (task, attempt);
 
     run.end_number = number;
     run.end_reason = end_reason;
--- a/test/unit/journal_test.cc
+++ b/test/unit/journal_test.cc
@@ -14,10 +14,11 @@
   char id[17];
 
   snprintf (id, sizeof id, "%016x", 0x1000 + number);
-  predecessor.call (100, RST_OPERATION_SUBMIT, id, Planner::job (1, 9000));
+  predecessor.send_call (100, RST_OPERATION_SUBMIT, id,
+                         Planner::make_job (1, 9000));
   predecessor.advance_time (35);
   predecessor.complete_commit ();
-  predecessor.call (101, RST_OPERATION_CANCEL, id);
+  predecessor.send_call (101, RST_OPERATION_CANCEL, id);
   predecessor.advance_time (35);
   predecessor.complete_commit ();
 }
@@ -28,14 +29,15 @@
   Planner successor (2);
 
   predecessor.start_serving (2);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 3000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 3000));
   predecessor.settle ();
   std::string lost = predecessor.sent_of_kind (RST_MSG_START)[0].id;
   std::string other = lost == "i-0" ? "i-1" : "i-0";
 
   for (int i = 0; predecessor.commits.size () < 596; i++)
     {
-      rst_run run = Planner::running (task_a0, 1);
+      rst_run run = Planner::make_running_run (task_a0, 1);
 
       run.progress_percent = i % 100;
       predecessor.report (1, lost, { run });
@@ -64,7 +66,8 @@
   Planner successor (2);
 
   predecessor.start_serving (1);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 9000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 9000));
   predecessor.settle ();
   for (int i = 0; i < 700; i++)
     add_segments (predecessor, i);
@@ -74,9 +77,9 @@
   EXPECT_EQ (successor.unreadable, 0);
   successor.configure ();
   rst_planner_finish_restore (successor.planner);
-  successor.call (8, RST_OPERATION_READ, job_a);
+  successor.send_call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (successor.reply_to (8)->reply.outcome, RST_OUTCOME_STATE);
-  successor.call (9, RST_OPERATION_READ, "0000000000001000");
+  successor.send_call (9, RST_OPERATION_READ, "0000000000001000");
   EXPECT_EQ (successor.reply_to (9)->reply.outcome, RST_OUTCOME_STATE);
 }
 
@@ -88,12 +91,12 @@
 
   for (int i = 0; i < count; i++)
     {
-      rst_jobdesc *desc = Planner::job (1, 9000);
+      rst_jobdesc *desc = Planner::make_job (1, 9000);
 
       g_free (desc->spec);
       desc->spec = g_strnfill (RST_SPEC_BYTES_MAX, 'x');
       snprintf (id, sizeof id, "%016x", 0x2000 + i);
-      cell.call ((uint64_t)(1000 + i), RST_OPERATION_SUBMIT, id, desc);
+      cell.send_call ((uint64_t)(1000 + i), RST_OPERATION_SUBMIT, id, desc);
     }
 }
 
@@ -123,13 +126,14 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
-  cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
+  cell.answer_order (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
   cell.commits.clear ();
   submit_many (cell, 100);
-  cell.report (1, "i-0", { Planner::ended (1, task_a0, 1, RST_END_DONE) });
+  cell.report (1, "i-0",
+               { Planner::make_ended_run (1, task_a0, 1, RST_END_DONE) });
   cell.advance_time (40);
   ASSERT_EQ (cell.commits.size (), 1u);
   cell.complete_commit ();
@@ -169,7 +173,7 @@
       char id[17];
 
       snprintf (id, sizeof id, "%016x", 0x2000 + i);
-      successor.call ((uint64_t)(5000 + i), RST_OPERATION_READ, id);
+      successor.send_call ((uint64_t)(5000 + i), RST_OPERATION_READ, id);
       EXPECT_EQ (successor.reply_to ((uint64_t)(5000 + i))->reply.outcome,
                  RST_OUTCOME_STATE);
     }
@@ -181,10 +185,11 @@
 take_over_after_job (Planner &predecessor, Planner &successor, int jobs_since)
 {
   predecessor.start_serving (1);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 1000));
   predecessor.settle ();
-  predecessor.report (1, "i-0",
-                      { Planner::ended (1, task_a0, 1, RST_END_DONE) });
+  predecessor.report (
+      1, "i-0", { Planner::make_ended_run (1, task_a0, 1, RST_END_DONE) });
   predecessor.settle ();
   for (int i = 0; i < jobs_since; i++)
     add_segments (predecessor, i);
@@ -218,7 +223,7 @@
   EXPECT_EQ (third.unreadable, 0);
   third.configure ();
   rst_planner_finish_restore (third.planner);
-  third.call (8, RST_OPERATION_READ, job_a);
+  third.send_call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (third.reply_to (8)->reply.state, RST_JOB_COMPLETED);
 }
 
@@ -228,11 +233,12 @@
   Planner successor (2);
 
   take_over_after_job (predecessor, successor, 320);
-  successor.call (8, RST_OPERATION_READ, job_a);
+  successor.send_call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (successor.reply_to (8)->reply.state, RST_JOB_COMPLETED);
-  successor.call (9, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  successor.send_call (9, RST_OPERATION_SUBMIT, job_a,
+                       Planner::make_job (1, 1000));
   EXPECT_EQ (successor.reply_to (9)->reply.outcome, RST_OUTCOME_OK);
-  successor.report (1, "i-0", { Planner::running (task_a0, 2) });
+  successor.report (1, "i-0", { Planner::make_running_run (task_a0, 2) });
   EXPECT_EQ (successor.sent_of_kind (RST_MSG_STOP).size (), 1u);
   successor.settle ();
   EXPECT_TRUE (successor.sent_of_kind (RST_MSG_START).empty ());
--- a/test/unit/metrics_test.cc
+++ b/test/unit/metrics_test.cc
@@ -76,12 +76,12 @@
   rst_planner_stats stats;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, "00000000000000aa",
-             Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, "00000000000000aa",
+                  Planner::make_job (1, 1000));
   cell.settle ();
-  cell.report (
-      1, "i-0",
-      { Planner::ended (1, "00000000000000aa.0.0.0", 1, RST_END_DONE) });
+  cell.report (1, "i-0",
+               { Planner::make_ended_run (1, "00000000000000aa.0.0.0", 1,
+                                          RST_END_DONE) });
   cell.settle ();
   rst_planner_read_stats (cell.planner, &stats);
   EXPECT_EQ (stats.accepted, 1u);
--- a/test/unit/pace_test.cc
+++ b/test/unit/pace_test.cc
@@ -34,15 +34,15 @@
   void
   SetUp () override
   {
-    rst_jobdesc *long_running = Planner::job (1, 1000);
-    rst_jobdesc *best_effort = Planner::job (1, 1000);
+    rst_jobdesc *long_running = Planner::make_job (1, 1000);
+    rst_jobdesc *best_effort = Planner::make_job (1, 1000);
 
     long_running->steps[0].long_running = true;
     long_running->steps[0].target_ms = 50;
     best_effort->steps[0].best_effort = true;
     cell.start_serving (1);
-    cell.call (7, RST_OPERATION_SUBMIT, long_running_job, long_running);
-    cell.call (8, RST_OPERATION_SUBMIT, best_effort_job, best_effort);
+    cell.send_call (7, RST_OPERATION_SUBMIT, long_running_job, long_running);
+    cell.send_call (8, RST_OPERATION_SUBMIT, best_effort_job, best_effort);
     cell.settle ();
     cell.sent.clear ();
   }
@@ -52,8 +52,8 @@
   void
   report (int64_t response_ms)
   {
-    rst_run long_running = Planner::running (long_running_task, 1);
-    rst_run best_effort = Planner::running (best_effort_task, 1);
+    rst_run long_running = Planner::make_running_run (long_running_task, 1);
+    rst_run best_effort = Planner::make_running_run (best_effort_task, 1);
 
     long_running.usage = response_ms;
     long_running.progress_percent = 100;
--- a/test/unit/planner_test.cc
+++ b/test/unit/planner_test.cc
@@ -18,7 +18,7 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.advance_time (40);
   EXPECT_EQ (cell.reply_to (7), nullptr);
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
@@ -34,19 +34,20 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
-  cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
+  cell.answer_order (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
-  cell.report (1, "i-0", { Planner::ended (1, task_a0, 1, RST_END_DONE) });
+  cell.report (1, "i-0",
+               { Planner::make_ended_run (1, task_a0, 1, RST_END_DONE) });
   cell.advance_time (40);
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_ACK).empty ());
-  cell.call (8, RST_OPERATION_READ, job_a);
+  cell.send_call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (cell.reply_to (8)->reply.state, RST_JOB_RUNNING);
   cell.complete_commit ();
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_ACK).size (), 1u);
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_ACK)[0].number, 1);
-  cell.call (9, RST_OPERATION_READ, job_a);
+  cell.send_call (9, RST_OPERATION_READ, job_a);
   EXPECT_EQ (cell.reply_to (9)->reply.state, RST_JOB_COMPLETED);
 }
 
@@ -55,14 +56,15 @@
   Planner cell;
 
   cell.start_serving (2);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
-  cell.report (1, "i-1", { Planner::ended (1, task_a0, 3, RST_END_FAILED) });
+  cell.report (1, "i-1",
+               { Planner::make_ended_run (1, task_a0, 3, RST_END_FAILED) });
   cell.report (1, "i-0",
-               { Planner::ended (1, task_a0, 1, RST_END_FAILED),
-                 Planner::ended (2, task_a0, 2, RST_END_FAILED) });
+               { Planner::make_ended_run (1, task_a0, 1, RST_END_FAILED),
+                 Planner::make_ended_run (2, task_a0, 2, RST_END_FAILED) });
   cell.settle ();
-  cell.call (8, RST_OPERATION_READ, job_a);
+  cell.send_call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (cell.reply_to (8)->reply.state, RST_JOB_FAILED);
 }
 
@@ -71,13 +73,14 @@
   Planner cell;
 
   cell.start_serving (2);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
   for (int64_t incarnation = 1; incarnation < 5; incarnation++)
-    cell.report (1, "i-0", { Planner::ended (1, task_a0, 1, RST_END_FAILED) },
+    cell.report (1, "i-0",
+                 { Planner::make_ended_run (1, task_a0, 1, RST_END_FAILED) },
                  incarnation);
   cell.settle ();
-  cell.call (8, RST_OPERATION_READ, job_a);
+  cell.send_call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (cell.reply_to (8)->reply.state, RST_JOB_RUNNING);
 }
 
@@ -86,15 +89,16 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
-  cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_UNKNOWN);
+  cell.answer_order (1, RST_MSG_STARTED, "i-0", task_a0, 1,
+                     RST_RESULT_UNKNOWN);
   cell.sent.clear ();
   cell.report (1, "i-0", {});
   cell.advance_time (5000);
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
   EXPECT_FALSE (cell.sent_of_kind (RST_MSG_STOP).empty ());
-  cell.answer (1, RST_MSG_STOPPED, "i-0", task_a0, 1, RST_RESULT_OK);
+  cell.answer_order (1, RST_MSG_STOPPED, "i-0", task_a0, 1, RST_RESULT_OK);
   cell.advance_time (500);
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
   cell.report (1, "i-0", {});
@@ -110,12 +114,12 @@
 
   cell.start_serving (2);
   first_token = cell.fencing_tokens["i-0"];
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
   std::string id = cell.sent_of_kind (RST_MSG_START)[0].id;
 
-  cell.answer (1, RST_MSG_STARTED, id, task_a0, 1, RST_RESULT_OK);
+  cell.answer_order (1, RST_MSG_STARTED, id, task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
   /* The new incarnation is reported under the token of the earlier one, which
      late orders carry too. */
@@ -124,7 +128,7 @@
   EXPECT_GT (cell.fencing_tokens[id], first_token);
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
   /* Meanwhile the new incarnation has carried out a late start order. */
-  cell.report_once (1, id, { Planner::running (task_a0, 1) }, 2);
+  cell.report_once (1, id, { Planner::make_running_run (task_a0, 1) }, 2);
   cell.settle ();
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
 }
@@ -134,9 +138,9 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
-  cell.report (1, "i-0", { Planner::running (task_a0, 1) });
+  cell.report (1, "i-0", { Planner::make_running_run (task_a0, 1) });
   cell.sent.clear ();
   cell.fencing_tokens["i-0"] -= 1;
   cell.report_once (1, "i-0", {});
@@ -149,15 +153,16 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (3, 1500));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (3, 1500));
   cell.settle ();
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
-  cell.call (8, RST_OPERATION_CANCEL, job_a);
-  cell.call (9, RST_OPERATION_SUBMIT, job_b, Planner::job (1, 1500));
+  cell.send_call (8, RST_OPERATION_CANCEL, job_a);
+  cell.send_call (9, RST_OPERATION_SUBMIT, job_b, Planner::make_job (1, 1500));
   cell.sent.clear ();
   cell.settle ();
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
-  cell.report (1, "i-0", { Planner::ended (1, task_a0, 1, RST_END_STOPPED) });
+  cell.report (1, "i-0",
+               { Planner::make_ended_run (1, task_a0, 1, RST_END_STOPPED) });
   cell.settle ();
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START)[0].task, task_b0);
@@ -168,9 +173,9 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (2, 1000));
   cell.settle ();
-  cell.call (8, RST_OPERATION_CANCEL, job_a);
+  cell.send_call (8, RST_OPERATION_CANCEL, job_a);
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_STOP).size (), 2u);
   cell.advance_time (40);
   EXPECT_EQ (cell.reply_to (8), nullptr);
@@ -184,14 +189,16 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (3, 1500, true));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                  Planner::make_job (3, 1500, true));
   cell.settle ();
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
   cell.add_instance ("i-1");
   cell.report (1, "i-1", {});
   cell.settle ();
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 3u);
-  cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_REJECTED);
+  cell.answer_order (1, RST_MSG_STARTED, "i-0", task_a0, 1,
+                     RST_RESULT_REJECTED);
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_STOP).size (), 2u);
 }
 
@@ -200,7 +207,7 @@
   Planner cell;
 
   cell.start_serving (3, false, 2500);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (5, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (5, 1000));
   cell.settle ();
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
 }
@@ -212,7 +219,7 @@
   cell.start_serving (2);
   cell.add_instance ("i-0", true);
   rst_planner_set_zone_evacuated (cell.planner, "a", true);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
   rst_planner_set_zone_evacuated (cell.planner, "a", false);
@@ -226,16 +233,18 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000, false, 2));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                  Planner::make_job (2, 1000, false, 2));
   cell.settle ();
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
   cell.sent.clear ();
   cell.report (1, "i-0",
-               { Planner::running (task_a1, 1),
-                 Planner::ended (1, task_a0, 1, RST_END_DONE) });
+               { Planner::make_running_run (task_a1, 1),
+                 Planner::make_ended_run (1, task_a0, 1, RST_END_DONE) });
   cell.settle ();
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
-  cell.report (1, "i-0", { Planner::ended (2, task_a1, 1, RST_END_DONE) });
+  cell.report (1, "i-0",
+               { Planner::make_ended_run (2, task_a1, 1, RST_END_DONE) });
   cell.advance_time (10);
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
 }
@@ -245,10 +254,10 @@
   Planner cell;
 
   cell.start_serving (2);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
   std::string first = cell.sent_of_kind (RST_MSG_START)[0].id;
-  cell.answer (1, RST_MSG_STARTED, first, task_a0, 1, RST_RESULT_OK);
+  cell.answer_order (1, RST_MSG_STARTED, first, task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
   cell.report (1, first, {}, 1, RST_RESULT_UNKNOWN, 5000);
   cell.advance_time (5000);
@@ -263,9 +272,9 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
-  cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
+  cell.answer_order (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
   cell.report (1, "i-0", {}, 2);
   cell.settle ();
@@ -278,7 +287,8 @@
 
   cell.start_serving (4);
   cell.add_agent (2);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (16, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                  Planner::make_job (16, 1000));
   cell.settle ();
   for (const Sent &start : cell.sent_of_kind (RST_MSG_START))
     EXPECT_EQ (start.link, 1u);
@@ -294,9 +304,9 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
-  cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
+  cell.answer_order (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
   cell.sent.clear ();
   cell.is_confirmed = false;
   cell.advance_time (500);
@@ -313,11 +323,12 @@
   Planner cell;
 
   cell.start_serving (4, true);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (2, 1000));
   cell.settle ();
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_ADVISE).size (), 1u);
   EXPECT_TRUE (cell.sent_of_kind (RST_MSG_START).empty ());
-  cell.advice (1, cell.sent_of_kind (RST_MSG_ADVISE)[0].number, { "i-2" });
+  cell.send_advice (1, cell.sent_of_kind (RST_MSG_ADVISE)[0].number,
+                    { "i-2" });
   cell.advance_time (10);
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 2u);
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START)[0].id, "i-2");
@@ -328,7 +339,8 @@
   Planner cell;
 
   cell.start_serving (40, true);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000, true));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                  Planner::make_job (2, 1000, true));
   cell.settle ();
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_ADVISE).size (), 1u);
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_ADVISE)[0].ids.size (), 30u);
@@ -340,7 +352,8 @@
   std::vector<std::string> approved;
 
   cell.start_serving (150, true);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (20, 4000, true));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                  Planner::make_job (20, 4000, true));
   cell.settle ();
   for (int round = 0; round < 6; round++)
     {
@@ -355,7 +368,7 @@
       for (const std::string &id : requests[0].ids)
         if (std::stoi (id.substr (2)) % 3 == 0)
           approved.push_back (id);
-      cell.advice (1, requests[0].number, approved);
+      cell.send_advice (1, requests[0].number, approved);
       cell.advance_time (150);
     }
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 20u);
@@ -366,7 +379,7 @@
   Planner cell;
 
   cell.start_serving (40, true);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (2, 1000));
   cell.settle ();
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_ADVISE).size (), 1u);
   EXPECT_LT (cell.sent_of_kind (RST_MSG_ADVISE)[0].ids.size (), 10u);
@@ -377,11 +390,11 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (1, RST_OPERATION_READ, job_a);
-  cell.call (2, RST_OPERATION_READ, job_a, nullptr, "wrong");
-  cell.call (3, RST_OPERATION_READ, job_a, nullptr, "k", "/none/");
-  cell.call (4, RST_OPERATION_SUBMIT, "short", Planner::job (1, 1));
-  cell.call (5, RST_OPERATION_READ, "");
+  cell.send_call (1, RST_OPERATION_READ, job_a);
+  cell.send_call (2, RST_OPERATION_READ, job_a, nullptr, "wrong");
+  cell.send_call (3, RST_OPERATION_READ, job_a, nullptr, "k", "/none/");
+  cell.send_call (4, RST_OPERATION_SUBMIT, "short", Planner::make_job (1, 1));
+  cell.send_call (5, RST_OPERATION_READ, "");
   EXPECT_EQ (cell.reply_to (1)->reply.outcome, RST_OUTCOME_NO_JOB);
   EXPECT_EQ (cell.reply_to (2)->reply.outcome, RST_OUTCOME_INVALID_KEY);
   EXPECT_EQ (cell.reply_to (3)->reply.outcome, RST_OUTCOME_NO_QUEUE);
@@ -395,12 +408,12 @@
   Planner cell;
 
   cell.start_serving (1);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
-  cell.call (8, RST_OPERATION_READ, "");
+  cell.send_call (8, RST_OPERATION_READ, "");
   EXPECT_EQ (cell.reply_to (8)->reply.count, 1);
-  cell.answer (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
-  cell.call (9, RST_OPERATION_READ, "");
+  cell.answer_order (1, RST_MSG_STARTED, "i-0", task_a0, 1, RST_RESULT_OK);
+  cell.send_call (9, RST_OPERATION_READ, "");
   EXPECT_EQ (cell.reply_to (9)->reply.count, 0);
 }
 
@@ -409,10 +422,10 @@
   Planner cell;
 
   cell.start_serving (8, true);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (2, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (2, 1000));
   cell.advance_time (5);
   ASSERT_EQ (cell.sent_of_kind (RST_MSG_ADVISE).size (), 1u);
-  cell.advice (1, cell.sent_of_kind (RST_MSG_ADVISE)[0].number, {});
+  cell.send_advice (1, cell.sent_of_kind (RST_MSG_ADVISE)[0].number, {});
   cell.advance_time (5000);
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_ADVISE).size (), 1u);
 }
@@ -424,7 +437,7 @@
   cell.start_serving (1);
   cell.configure (0, false, 5);
   cell.configure (100, false, 4);
-  cell.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  cell.send_call (7, RST_OPERATION_SUBMIT, job_a, Planner::make_job (1, 1000));
   cell.settle ();
   EXPECT_EQ (cell.sent_of_kind (RST_MSG_START).size (), 1u);
 }
--- a/test/unit/succession_test.cc
+++ b/test/unit/succession_test.cc
@@ -16,7 +16,8 @@
   Planner successor (2);
 
   predecessor.start_serving (2);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 1000));
   predecessor.settle ();
   successor.restore (predecessor);
   EXPECT_EQ (successor.unreadable, 0);
@@ -28,14 +29,14 @@
   successor.report (1, "i-0", {});
   successor.settle ();
   EXPECT_TRUE (successor.sent_of_kind (RST_MSG_START).empty ());
-  successor.report (1, "i-1", { Planner::running (task_a0, 1) });
+  successor.report (1, "i-1", { Planner::make_running_run (task_a0, 1) });
   successor.settle ();
   EXPECT_TRUE (successor.sent_of_kind (RST_MSG_START).empty ());
   EXPECT_TRUE (successor.sent_of_kind (RST_MSG_STOP).empty ());
   successor.report (1, "i-1",
-                    { Planner::ended (1, task_a0, 1, RST_END_DONE) });
+                    { Planner::make_ended_run (1, task_a0, 1, RST_END_DONE) });
   successor.settle ();
-  successor.call (8, RST_OPERATION_READ, job_a);
+  successor.send_call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (successor.reply_to (8)->reply.state, RST_JOB_COMPLETED);
 }
 
@@ -45,7 +46,8 @@
   Planner successor (2);
 
   predecessor.start_serving (1);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 1000));
   predecessor.settle ();
   ASSERT_EQ (predecessor.sent_of_kind (RST_MSG_START)[0].attempt, 1);
   successor.restore (predecessor);
@@ -67,10 +69,12 @@
   Planner successor (2);
 
   predecessor.start_serving (1);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 1000));
   predecessor.settle ();
-  predecessor.report (1, "i-0",
-                      { Planner::ended (1, task_a0, 70000, RST_END_FAILED) });
+  predecessor.report (
+      1, "i-0",
+      { Planner::make_ended_run (1, task_a0, 70000, RST_END_FAILED) });
   predecessor.settle ();
   successor.restore (predecessor);
   EXPECT_EQ (successor.unreadable, 0);
@@ -91,13 +95,15 @@
   Planner third (3);
 
   predecessor.start_serving (1);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 9000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 9000));
   predecessor.settle ();
   successor.restore (predecessor);
   EXPECT_EQ (successor.unreadable, 0);
   successor.configure ();
   rst_planner_finish_restore (successor.planner);
-  successor.call (8, RST_OPERATION_SUBMIT, job_b, Planner::job (1, 9000));
+  successor.send_call (8, RST_OPERATION_SUBMIT, job_b,
+                       Planner::make_job (1, 9000));
   successor.settle ();
   third.restore (predecessor);
   EXPECT_EQ (third.unreadable, 0);
@@ -105,7 +111,7 @@
   EXPECT_EQ (third.unreadable, 0);
   third.configure ();
   rst_planner_finish_restore (third.planner);
-  third.call (9, RST_OPERATION_READ, "");
+  third.send_call (9, RST_OPERATION_READ, "");
   EXPECT_EQ (third.reply_to (9)->reply.count, 2);
 }
 
@@ -115,7 +121,8 @@
   Planner successor (2);
 
   predecessor.start_serving (2, false, 4500);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (4, 1000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (4, 1000));
   predecessor.settle ();
   successor.restore (predecessor);
   EXPECT_EQ (successor.unreadable, 0);
@@ -125,13 +132,14 @@
   successor.add_instance ("i-1");
   rst_planner_finish_restore (successor.planner);
   successor.report (1, "i-0", {});
-  successor.call (8, RST_OPERATION_SUBMIT, job_b, Planner::job (1, 1000));
+  successor.send_call (8, RST_OPERATION_SUBMIT, job_b,
+                       Planner::make_job (1, 1000));
   successor.settle ();
   // Four tasks may run on i-1, which has not reported its runs yet.
   EXPECT_TRUE (successor.sent_of_kind (RST_MSG_START).empty ());
   successor.report (1, "i-1",
-                    { Planner::ended (1, task_a0, 1, RST_END_DONE),
-                      Planner::running (task_a1, 1) });
+                    { Planner::make_ended_run (1, task_a0, 1, RST_END_DONE),
+                      Planner::make_running_run (task_a1, 1) });
   successor.settle ();
   EXPECT_EQ (successor.sent_of_kind (RST_MSG_START).size (), 3u);
 }
@@ -142,12 +150,13 @@
   Planner successor (2);
 
   predecessor.start_serving (2, false, 1500);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 1000));
   predecessor.settle ();
   std::string at = predecessor.sent_of_kind (RST_MSG_START)[0].id;
   std::string other = at == "i-0" ? "i-1" : "i-0";
 
-  predecessor.call (8, RST_OPERATION_CANCEL, job_a);
+  predecessor.send_call (8, RST_OPERATION_CANCEL, job_a);
   predecessor.settle ();
   successor.restore (predecessor);
   EXPECT_EQ (successor.unreadable, 0);
@@ -156,14 +165,15 @@
   successor.add_instance ("i-0");
   successor.add_instance ("i-1");
   rst_planner_finish_restore (successor.planner);
-  successor.report (1, at, { Planner::running (task_a0, 1) });
+  successor.report (1, at, { Planner::make_running_run (task_a0, 1) });
   successor.report (1, other, {});
-  successor.call (9, RST_OPERATION_SUBMIT, job_b, Planner::job (1, 1000));
+  successor.send_call (9, RST_OPERATION_SUBMIT, job_b,
+                       Planner::make_job (1, 1000));
   successor.settle ();
   EXPECT_FALSE (successor.sent_of_kind (RST_MSG_STOP).empty ());
   EXPECT_TRUE (successor.sent_of_kind (RST_MSG_START).empty ());
-  successor.report (1, at,
-                    { Planner::ended (1, task_a0, 1, RST_END_STOPPED) });
+  successor.report (
+      1, at, { Planner::make_ended_run (1, task_a0, 1, RST_END_STOPPED) });
   successor.settle ();
   EXPECT_EQ (successor.sent_of_kind (RST_MSG_START).size (), 1u);
 }
@@ -174,12 +184,14 @@
   Planner successor (2);
 
   predecessor.start_serving (2);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 3000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 3000));
   predecessor.settle ();
   std::string lost = predecessor.sent_of_kind (RST_MSG_START)[0].id;
   std::string other = lost == "i-0" ? "i-1" : "i-0";
 
-  predecessor.call (8, RST_OPERATION_SUBMIT, job_b, Planner::job (1, 3000));
+  predecessor.send_call (8, RST_OPERATION_SUBMIT, job_b,
+                         Planner::make_job (1, 3000));
   predecessor.settle ();
   predecessor.report (1, lost, {}, 1, RST_RESULT_UNKNOWN, 5000);
   predecessor.settle ();
@@ -201,8 +213,9 @@
   int attempt = (int)successor.sent_of_kind (RST_MSG_START)[0].number;
 
   successor.sent.clear ();
-  successor.report (1, other,
-                    { Planner::ended (1, task_b0, attempt, RST_END_DONE) });
+  successor.report (
+      1, other,
+      { Planner::make_ended_run (1, task_b0, attempt, RST_END_DONE) });
   successor.advance_time (2000);
   EXPECT_TRUE (successor.sent_of_kind (RST_MSG_START).empty ());
   successor.advance_time (7000);
@@ -217,7 +230,8 @@
   Planner successor (2);
 
   predecessor.start_serving (2);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 3000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 3000));
   predecessor.settle ();
   std::string lost = predecessor.sent_of_kind (RST_MSG_START)[0].id;
 
@@ -225,10 +239,10 @@
   predecessor.settle ();
   predecessor.advance_time (500);
   predecessor.settle ();
-  predecessor.report (1, lost, { Planner::running (task_a0, 1) });
+  predecessor.report (1, lost, { Planner::make_running_run (task_a0, 1) });
   predecessor.settle ();
-  predecessor.report (1, lost,
-                      { Planner::ended (1, task_a0, 1, RST_END_DONE) });
+  predecessor.report (
+      1, lost, { Planner::make_ended_run (1, task_a0, 1, RST_END_DONE) });
   predecessor.settle ();
   successor.restore (predecessor);
   EXPECT_EQ (successor.unreadable, 0);
@@ -250,7 +264,8 @@
   Planner third (3);
 
   predecessor.start_serving (2);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 3000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 3000));
   predecessor.settle ();
   std::string lost = predecessor.sent_of_kind (RST_MSG_START)[0].id;
   std::string other = lost == "i-0" ? "i-1" : "i-0";
@@ -303,10 +318,11 @@
   Planner successor (2);
 
   predecessor.start_serving (1);
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 1000));
   predecessor.settle ();
-  predecessor.report (1, "i-0",
-                      { Planner::ended (1, task_a0, 1, RST_END_FAILED) });
+  predecessor.report (
+      1, "i-0", { Planner::make_ended_run (1, task_a0, 1, RST_END_FAILED) });
   predecessor.settle ();
   successor.restore (predecessor);
   EXPECT_EQ (successor.unreadable, 0);
@@ -314,16 +330,17 @@
   successor.add_agent (1);
   successor.add_instance ("i-0");
   rst_planner_finish_restore (successor.planner);
-  successor.report (1, "i-0",
-                    { Planner::ended (1, task_a0, 1, RST_END_FAILED),
-                      Planner::ended (2, task_a0, 2, RST_END_FAILED) });
+  successor.report (
+      1, "i-0",
+      { Planner::make_ended_run (1, task_a0, 1, RST_END_FAILED),
+        Planner::make_ended_run (2, task_a0, 2, RST_END_FAILED) });
   successor.settle ();
-  successor.call (8, RST_OPERATION_READ, job_a);
+  successor.send_call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (successor.reply_to (8)->reply.state, RST_JOB_RUNNING);
-  successor.report (1, "i-0",
-                    { Planner::ended (3, task_a0, 3, RST_END_FAILED) });
+  successor.report (
+      1, "i-0", { Planner::make_ended_run (3, task_a0, 3, RST_END_FAILED) });
   successor.settle ();
-  successor.call (9, RST_OPERATION_READ, job_a);
+  successor.send_call (9, RST_OPERATION_READ, job_a);
   EXPECT_EQ (successor.reply_to (9)->reply.state, RST_JOB_FAILED);
 }
 
@@ -334,7 +351,8 @@
 
   predecessor.start_serving (1);
   predecessor.commits.clear ();
-  predecessor.call (7, RST_OPERATION_SUBMIT, job_a, Planner::job (1, 1000));
+  predecessor.send_call (7, RST_OPERATION_SUBMIT, job_a,
+                         Planner::make_job (1, 1000));
   predecessor.advance_time (40);
   ASSERT_EQ (predecessor.commits.size (), 1u);
   ASSERT_EQ (predecessor.commits[0].data[0], '\x91');
@@ -345,7 +363,7 @@
       rst_planner_restore (successor.planner, 1, data.data (), data.size ()));
   successor.configure ();
   rst_planner_finish_restore (successor.planner);
-  successor.call (8, RST_OPERATION_READ, job_a);
+  successor.send_call (8, RST_OPERATION_READ, job_a);
   EXPECT_EQ (successor.reply_to (8)->reply.outcome, RST_OUTCOME_STATE);
 }
 
