--- a/include/rosemarystile.h
+++ b/include/rosemarystile.h
@@ -138,7 +138,8 @@
 /**
  * struct rst_member - A process that may own instances of its zone.
  * @name: Name of the process; unchanged by a restart.
- * @incarnation: Identifies one life of the process, from start to end.
+ * @incarnation: Identifies one tenure of the process; a new one is chosen at
+ *   each start and after each loss of the tenure.
  * @address: Address for messages of other processes, "IP:PORT".
  * @status_address: Address of the HTTP server with its status, "IP:PORT".
  */
@@ -305,8 +306,8 @@
  * @max_moves: Maximum number of instances to release.
  *
  * Only the owner may release instances, and it must not start runs on them
- * from then on.  It keeps one above its share of those for which it is the
- * preferred owner.
+ * from then on.  Instances for which it is the preferred owner are released
+ * only as long as it owns more than one above its share.
  *
  * Return: The number of instances released.
  */
@@ -381,8 +382,8 @@
 /**
  * struct rst_member_record - Stored record of a member's tenure.
  * @incarnation: The member.
- * @view: Revision of the ownership record whose members the holder requires
- *   promises of: the view that it has declared.
+ * @view: Revision of the ownership record that the holder has declared as its
+ *   view: it requires promises from the members in that revision.
  * @touch: Number of the member's own writes of this record.
  * @fenced_by: Incarnation of the member that ended the tenure, or "".
  *
@@ -438,9 +439,9 @@
  * @incarnation: Incarnation of the holder.
  *
  * A tenure is the right to act as a member.  The holder keeps it with a store
- * lease, or while the store is unavailable with promises of all other members
- * of the views that it has declared.  No promise is required of a member that
- * has stopped, see rst_tenure_record_member_stop().
+ * lease, or while the store is unavailable with promises from all other
+ * members of the views that it has declared.  No promise is required from a
+ * member that has stopped, see rst_tenure_record_member_stop().
  *
  * Return: The tenure, to be freed with rst_tenure_destroy(), or NULL if an
  * allocation failed.
@@ -465,7 +466,7 @@
 void rst_tenure_end (struct rst_tenure *tenure);
 
 /**
- * rst_tenure_declare_view() - Requires promises of the members of a view.
+ * rst_tenure_declare_view() - Requires promises from the members of a view.
  * @tenure: The tenure.
  * @view: The ownership record; its revision becomes the declared view.
  *
--- a/src/cell/planner.h
+++ b/src/cell/planner.h
@@ -2,9 +2,10 @@
  * DOC: planner - decides which task starts on which instance, and when
  *
  * One process at a time runs the planner.  It knows all jobs and all
- * instances and sends orders to the agents.  It does no I/O of its own:
- * rst_planner_set_time() sets its clock, the other functions deliver events,
- * and its output goes through the callbacks of struct rst_planner_ops.
+ * instances, and sends orders to agents, which call the instances.  It does no
+ * I/O of its own: rst_planner_set_time() sets its clock, the other functions
+ * deliver events, and its output goes through the callbacks of struct
+ * rst_planner_ops.
  *
  * All functions of one planner are called from the same thread.
  */
@@ -38,9 +39,10 @@
  * @send: Sends a message over a link.  The bytes are valid during the call.
  * @reply: Replies to the caller's request that has the number @call on a
  *   link.
- * @commit: Appends a segment to the journal and deletes old ones, in one
- *   transaction.  rst_planner_commit_done() reports its completion; until
- *   then there is no further commit.
+ * @commit: Appends the segment with the number @segment to the journal and
+ *   deletes those with the numbers in @remove, in one transaction.  Its
+ *   completion is reported with rst_planner_commit_done(); until then the
+ *   planner makes no further commit.
  * @userdata: Passed to each callback.
  */
 struct rst_planner_ops
@@ -60,8 +62,8 @@
  *   store last confirmed the planner.
  * @lease_ms: Length of a lease on an instance.
  * @status_ms: How long the state of an ended job can be read.
- * @early_ms: How long before its due time an occurrence may start; the
- *   planner does not use it.
+ * @early_ms: How long before its due time an occurrence of a repeating job
+ *   may start; the planner does not use it.
  */
 struct rst_planner_timing
 {
@@ -166,8 +168,8 @@
                                      const char *zone, bool evacuated);
 
 /**
- * rst_planner_update_instance() - Adds an instance or changes its entry.
- * @entry: The instance's current entry; copied.
+ * rst_planner_update_instance() - Adds an instance or replaces its entry.
+ * @entry: The entry under which the instance is now registered; copied.
  */
 void rst_planner_update_instance (struct rst_planner *planner,
                                   const struct rst_instance_entry *entry);
@@ -230,8 +232,8 @@
  * rst_planner_receive_call() - Handles a caller's request.
  * @call: The request.  The planner takes ownership of its description.
  *
- * The reply goes through &rst_planner_ops.reply, after the next commit where
- * the request changes the state of a job.
+ * The reply goes through &rst_planner_ops.reply.  If the request changes the
+ * state of a job, the reply follows once the change is committed.
  */
 void rst_planner_receive_call (struct rst_planner *planner,
                                const struct rst_planner_call *call);
--- a/src/coordination/scheduler.h
+++ b/src/coordination/scheduler.h
@@ -47,7 +47,7 @@
  * @address: Address for messages of other processes.  Peers that find another
  *   process there know that this one has stopped.
  * @status_address: Address of the HTTP server with its status.
- * @tenure: Durations of its tenure.
+ * @tenure: Durations of its tenure, the right to act as a member of the zone.
  * @task_lease_ms: Time to live of the leases under which tasks run.
  * @list_interval_ms: Interval at which the list of instances is fetched.
  * @clock: Source of the current time.
--- a/src/daemon/term.h
+++ b/src/daemon/term.h
@@ -1,14 +1,14 @@
 /**
  * DOC: term - the time in which this process is the planner
  *
- * A term begins when this process replaces the planner record with its own in
- * one conditional commit.  The term then restores the planner from the
- * journal, watches the keys of operators and instances, and commits the
- * planner's changes.  Each commit also updates the planner record, on the
- * condition that its revision is the one this process wrote last.  Commits
- * therefore form one sequence: a commit of a former planner, or a copy that
- * arrives late, fails and changes nothing.  All functions are called from one
- * thread.
+ * The planner record in the store names the process that is the planner.  A
+ * term begins when this process replaces that record with its own in one
+ * conditional commit.  The term then restores the planner from the journal,
+ * watches the keys of operators and instances, and commits the planner's
+ * changes.  Each commit also updates the planner record, on the condition that
+ * its revision is the one this process wrote last.  Commits therefore form one
+ * sequence: a commit of a former planner, or a copy that arrives late, fails
+ * and changes nothing.  All functions are called from one thread.
  */
 #ifndef RST_TERM_H
 #define RST_TERM_H
@@ -76,7 +76,7 @@
 void rst_term_handle_frame (struct rst_term *term, uint64_t link,
                             const void *data, size_t length);
 
-/** rst_term_handle_link_closed() - A link was closed. */
+/** rst_term_handle_link_closed() - Handles the closing of a link. */
 void rst_term_handle_link_closed (struct rst_term *term, uint64_t link);
 
 /**
@@ -100,8 +100,8 @@
  * another process takes over at once. */
 void rst_term_resign (struct rst_term *term);
 
-/** rst_term_is_idle() - Whether no commit is pending, that of a resignation
- * included. */
+/** rst_term_is_idle() - Whether no commit is pending, including that of a
+ * resignation. */
 bool rst_term_is_idle (const struct rst_term *term);
 
 /** rst_term_get_planner() - Returns the planner, or NULL before the term is
--- a/src/protocol/message.h
+++ b/src/protocol/message.h
@@ -4,7 +4,8 @@
  * A message is sent as one frame: a msgpack array that holds the protocol
  * version, the message type, the request number and then the fields of that
  * type in the order of its structure.  Decoding checks the type of each field
- * and reports the first field that is invalid.
+ * and reports the first field that is invalid.  Incarnations, tenures and
+ * ownership epochs are explained in rosemarystile.h.
  */
 #ifndef RST_MESSAGE_H
 #define RST_MESSAGE_H
@@ -362,8 +363,9 @@
  * @index: Index of the task in its job; %UINT64_MAX in the last
  *   %RST_TASK_FOUND of a reply.
  * @attempt: Number of the attempt to run the task.  In %RST_TASK_FIND it is
- *   the generation of the job record, and in the last %RST_TASK_FOUND the
- *   revision of the ownership record.
+ *   the generation of the job record, which grows with each new owner of the
+ *   job; in the last %RST_TASK_FOUND it is the revision of the ownership
+ *   record.
  * @result: A value of enum rst_task_result.  In %RST_TASK_STOP it is
  *   %RST_TASK_MOVED to checkpoint the task first, and otherwise
  *   %RST_TASK_STOPPED.
--- a/test/unit/cell_harness.h
+++ b/test/unit/cell_harness.h
@@ -186,8 +186,8 @@
     deliver (link, RST_MSG_REPORT, &pack);
   }
 
-  // Delivers an agent's answer to an order;  is RST_MSG_STARTED or another
-  // answer.
+  // Delivers an agent's answer to an order; @kind is RST_MSG_STARTED or
+  // RST_MSG_STOPPED.
   void
   answer_order (uint64_t link, int kind, const std::string &id,
                 const std::string &task, int attempt, rst_result result)
@@ -249,7 +249,7 @@
     return desc;
   }
 
-  // Delivers a caller's request; the reply has .
+  // Delivers a caller's request; its reply carries @number.
   void
   send_call (uint64_t number, rst_operation operation, const std::string &id,
              rst_jobdesc *desc = nullptr, const char *key = "k",
