--- a/include/rosemarystile.h
+++ b/include/rosemarystile.h
@@ -138,8 +138,7 @@
 /**
  * struct rst_member - A process that may own instances of its zone.
  * @name: Name of the process; unchanged by a restart.
- * @incarnation: Identifies one tenure of the process; a new one is chosen at
- *   each start and after each loss of the tenure.
+ * @incarnation: Identifies one tenure of the process; the next has another.
  * @address: Address for messages of other processes, "IP:PORT".
  * @status_address: Address of the HTTP server with its status, "IP:PORT".
  */
--- a/test/fuzz/world.cc
+++ b/test/fuzz/world.cc
@@ -254,17 +254,17 @@
 
 void
 fake_query_run (void *u, const char *address,
-                const struct rst_query_request *run, rst_platform_done done,
+                const struct rst_query_request *query, rst_platform_done done,
                 void *data)
 {
   Node *node = get_node (u);
   World *w = node->world;
   FakeInstance *instance = w->find_instance (address);
-  std::string body (run->body, run->length);
-  std::string team = run->team;
-  std::string id = run->id;
-  uint64_t epoch = run->epoch;
-  ms deadline = run->deadline_ms;
+  std::string body (query->body, query->length);
+  std::string team = query->team;
+  std::string id = query->id;
+  uint64_t epoch = query->epoch;
+  ms deadline = query->deadline_ms;
 
   w->call (
       node, instance->info.zone, false, deadline,
