--- a/test/cell/world.cc
+++ b/test/cell/world.cc
@@ -249,8 +249,7 @@
 World::find_planner ()
 {
   for (auto &node : nodes)
-    if (node->cell_node != nullptr
-        && rst_cell_node_is_planner (node->cell_node))
+    if (node->cell_node != nullptr && rst_cell_node_has_term (node->cell_node))
       return node.get ();
   return nullptr;
 }
--- a/test/fuzz/world.cc
+++ b/test/fuzz/world.cc
@@ -230,7 +230,7 @@
 {
   Reply reply;
 
-  reply.result = RST_PLATFORM_REFUSED;
+  reply.result = RST_PLATFORM_REJECTED;
   reply.status = 503;
   return reply;
 }
@@ -254,17 +254,17 @@
 
 void
 fake_query_run (void *u, const char *address,
-                const struct rst_query_request *run, rst_platform_done done,
+                const struct rst_query_request *query, rst_platform_done done,
                 void *data)
 {
   Node *node = get_node (u);
   World *w = node->world;
   FakeInstance *instance = w->find_instance (address);
-  std::string body (run->body, run->length);
-  std::string team = run->team;
-  std::string id = run->id;
-  uint64_t epoch = run->epoch;
-  ms deadline = run->deadline_ms;
+  std::string body (query->body, query->length);
+  std::string team = query->team;
+  std::string id = query->id;
+  uint64_t epoch = query->epoch;
+  ms deadline = query->deadline_ms;
 
   w->call (
       node, instance->info.zone, false, deadline,
@@ -382,7 +382,7 @@
         if (epoch < instance->epoch)
           return make_fenced_reply ();
         instance->epoch = epoch;
-        rejection.result = RST_PLATFORM_REFUSED;
+        rejection.result = RST_PLATFORM_REJECTED;
         if (instance->tombstones.count (info.id) > 0)
           return rejection;
         if (instance->tasks.count (info.id) > 0)
--- a/test/replay/model.cc
+++ b/test/replay/model.cc
@@ -212,7 +212,7 @@
         queue->pool = g_strdup ("pool");
         queue->max_failures = 3;
         queue->priority = kind.priority;
-        queue->slack = (int64_t)(kind.slack_factor * 1000);
+        queue->slack_permille = (int64_t)(kind.slack_factor * 1000);
         queue->target_ms = kind.target_ms;
         queue->needs_approval = true;
         queue->advice_ms = kind.advice_ms;
@@ -319,13 +319,14 @@
                        + kind.target_ms;
     result_.kinds[kind.name].jobs++;
     result_.kinds[kind.name].core_seconds += job.core_seconds;
-    rst_jobdesc *desc = Planner::job (job.tasks, kind.cpu_milli, job.is_gang);
+    rst_jobdesc *desc
+        = Planner::make_job (job.tasks, kind.cpu_milli, job.is_gang);
 
     desc->steps[0].need.memory = kind.memory_mb;
     desc->steps[0].estimate_ms = kind.mean_run_ms;
     jobs_[id] = job;
-    planner_.call (next_job_, RST_OPERATION_SUBMIT, id, desc,
-                   customer.c_str (), ("/" + kind.name + "/").c_str ());
+    planner_.send_call (next_job_, RST_OPERATION_SUBMIT, id, desc,
+                        customer.c_str (), ("/" + kind.name + "/").c_str ());
   }
 
   void
@@ -375,8 +376,8 @@
     instances_[message.id].runs[message.task]
         = Run{ message.attempt, now_, job.run_ms[index] };
     busy_cpu_ += job.kind->cpu_milli;
-    planner_.answer (message.link, RST_MSG_STARTED, message.id, message.task,
-                     message.attempt, RST_RESULT_OK);
+    planner_.answer_order (message.link, RST_MSG_STARTED, message.id,
+                           message.task, message.attempt, RST_RESULT_OK);
     schedule (now_ + job.run_ms[index],
               [this, message] { end_run (message, RST_END_DONE); });
   }
@@ -384,8 +385,8 @@
   void
   handle_stop (const Sent &message)
   {
-    planner_.answer (message.link, RST_MSG_STOPPED, message.id, message.task,
-                     message.attempt, RST_RESULT_OK);
+    planner_.answer_order (message.link, RST_MSG_STOPPED, message.id,
+                           message.task, message.attempt, RST_RESULT_OK);
     end_run (message, RST_END_STOPPED);
   }
 
@@ -401,9 +402,9 @@
       return;
     instance.runs.erase (found);
     busy_cpu_ -= job.kind->cpu_milli;
-    instance.ends.push_back (Planner::ended (instance.next_end_number++,
-                                             message.task, message.attempt,
-                                             end_reason));
+    instance.ends.push_back (
+        Planner::make_ended_run (instance.next_end_number++, message.task,
+                                 message.attempt, end_reason));
     report_runs (message.id);
     if (end_reason == RST_END_DONE && --job.remaining_ends == 0)
       record_job_end (job);
@@ -429,8 +430,8 @@
       {
         const Run &run = entry.second;
 
-        runs.push_back (Planner::running (entry.first, run.attempt));
-        runs.back ().percent
+        runs.push_back (Planner::make_running_run (entry.first, run.attempt));
+        runs.back ().progress_percent
             = (int)((now_ - run.started_at) * 100 / run.run_ms);
       }
     for (const rst_run &end : instances_[id].ends)
@@ -454,7 +455,7 @@
   {
     std::vector<rst_run> &ends = instances_[message.id].ends;
 
-    while (!ends.empty () && ends.front ().number <= message.number)
+    while (!ends.empty () && ends.front ().end_number <= message.number)
       ends.erase (ends.begin ());
   }
 
@@ -477,7 +478,7 @@
           < kind.approval_fraction * 1000)
         approved.push_back (id);
     schedule (free_at, [this, message, approved] {
-      planner_.advice (message.link, message.number, approved);
+      planner_.send_advice (message.link, message.number, approved);
     });
   }
 
--- a/test/unit/cell_harness.h
+++ b/test/unit/cell_harness.h
@@ -103,7 +103,7 @@
     queue->prefix = g_strdup ("/q/");
     queue->pool = g_strdup ("pool");
     queue->max_failures = 3;
-    queue->slack = 3000;
+    queue->slack_permille = 3000;
     queue->target_ms = 500;
     queue->needs_approval = needs_approval;
     queue->advice_ms = 10;
@@ -175,20 +175,22 @@
     for (const rst_run &run : runs)
       {
         rst_pack_array (&pack, 7);
-        rst_pack_int (&pack, run.number);
+        rst_pack_int (&pack, run.end_number);
         rst_pack_text (&pack, run.task);
         rst_pack_int (&pack, run.attempt);
         rst_pack_int (&pack, run.end_reason);
         rst_pack_text (&pack, run.checkpoint);
-        rst_pack_int (&pack, run.percent);
+        rst_pack_int (&pack, run.progress_percent);
         rst_pack_int (&pack, run.usage);
       }
     deliver (link, RST_MSG_REPORT, &pack);
   }
 
+  // Delivers an agent's answer to an order; @kind is RST_MSG_STARTED or
+  // RST_MSG_STOPPED.
   void
-  answer (uint64_t link, int kind, const std::string &id,
-          const std::string &task, int attempt, rst_result result)
+  answer_order (uint64_t link, int kind, const std::string &id,
+                const std::string &task, int attempt, rst_result result)
   {
     rst_pack pack;
 
@@ -202,9 +204,10 @@
     deliver (link, kind, &pack);
   }
 
+  // Delivers an agent's answer to an advice request.
   void
-  advice (uint64_t link, int64_t handle,
-          const std::vector<std::string> &approved)
+  send_advice (uint64_t link, int64_t handle,
+               const std::vector<std::string> &approved)
   {
     rst_pack pack;
 
@@ -222,7 +225,7 @@
   }
 
   static rst_jobdesc *
-  job (int tasks, int64_t cpu, bool gang = false, int steps = 1)
+  make_job (int tasks, int64_t cpu, bool gang = false, int steps = 1)
   {
     rst_jobdesc *desc = rst_jobdesc_create (steps);
 
@@ -246,10 +249,11 @@
     return desc;
   }
 
+  // Delivers a caller's request; its reply carries @number.
   void
-  call (uint64_t number, rst_operation operation, const std::string &id,
-        rst_jobdesc *desc = nullptr, const char *key = "k",
-        const char *prefix = "/q/")
+  send_call (uint64_t number, rst_operation operation, const std::string &id,
+             rst_jobdesc *desc = nullptr, const char *key = "k",
+             const char *prefix = "/q/")
   {
     struct rst_planner_call request = {};
     std::string path = prefix + id;
@@ -351,7 +355,7 @@
   }
 
   static rst_run
-  running (const std::string &task, int attempt)
+  make_running_run (const std::string &task, int attempt)
   {
     rst_run run = {};
 
@@ -361,12 +365,12 @@
   }
 
   static rst_run
-  ended (int64_t number, const std::string &task, int attempt,
-         rst_end end_reason)
+  make_ended_run (int64_t number, const std::string &task, int attempt,
+                  rst_end end_reason)
   {
-    rst_run run = running (task, attempt);
+    rst_run run = make_running_run (task, attempt);
 
-    run.number = number;
+    run.end_number = number;
     run.end_reason = end_reason;
     return run;
   }
