--- a/src/cell/plan_instances.c
+++ b/src/cell/plan_instances.c
@@ -530,7 +530,7 @@
                    int64_t incarnation)
 {
   if (instance->incarnation != 0)
-    mark_runs_lost (planner, instance, "born anew");
+    mark_runs_lost (planner, instance, "instance restarted");
   instance->incarnation = incarnation;
   instance->incarnation_seen_at = planner->now;
   instance->last_seen_end = 0;
@@ -618,7 +618,7 @@
   if (instance->runs_known || planner->now < instance->lease_expires_at)
     return;
   if (g_hash_table_size (instance->runs) > 0)
-    mark_runs_lost (planner, instance, "lease ran out");
+    mark_runs_lost (planner, instance, "lease expired");
   instance->inherited = false;
 }
 
