--- a/src/cell/agent.c
+++ b/src/cell/agent.c
@@ -29,10 +29,10 @@
   struct rst_agent *agent;
   char id[RST_ID_SIZE];
   char address[RST_ADDRESS_SIZE];
-  int64_t fence;
+  int64_t fencing_token;
   /* Number of the last end that is stored, and of the last one listed. */
-  int64_t last_seen;
-  int64_t last_listed;
+  int64_t last_acked_end;
+  int64_t last_listed_end;
   int64_t incarnation;
   /* The instance's clock, 0 when unknown, and when it was read. */
   int64_t clock_ms;
@@ -41,9 +41,9 @@
   rst_ms poll_wait_ms;
   bool poll_pending;
   bool released;
-  /* Whether the last answer came from the incarnation to which last_seen and
-     last_listed belong.  A restarted instance keeps its id, but numbers its
-     ends from the beginning again. */
+  /* Whether the last answer came from the incarnation to which last_acked_end
+     and last_listed_end belong.  A restarted instance keeps its id, but
+     numbers its ends from the beginning again. */
   bool same_incarnation;
   rst_ms next_poll_at;
 };
@@ -146,7 +146,7 @@
   rst_pack_int (&pack, answer->clock_ms);
   rst_pack_int (&pack, answer->incarnation);
   rst_pack_int (&pack, MAX (held->lease_expires_at - now, 0));
-  rst_pack_int (&pack, held->fence);
+  rst_pack_int (&pack, held->fencing_token);
   rst_pack_array (&pack, answer->runs->len);
   for (guint i = 0; i < answer->runs->len; i++)
     pack_run (&pack, &g_array_index (answer->runs, struct rst_run, i));
@@ -172,14 +172,14 @@
   if (answer->incarnation != held->incarnation)
     {
       held->incarnation = answer->incarnation;
-      held->last_seen = 0;
-      held->last_listed = 0;
+      held->last_acked_end = 0;
+      held->last_listed_end = 0;
     }
   held->same_incarnation = true;
   update_clock (held, answer, now);
   for (guint i = 0; i < answer->runs->len; i++)
-    held->last_listed
-        = MAX (held->last_listed,
+    held->last_listed_end
+        = MAX (held->last_listed_end,
                g_array_index (answer->runs, struct rst_run, i).end_number);
 }
 
@@ -203,7 +203,7 @@
   send_report (held, answer, now);
   if (answer->result != RST_RESULT_OK)
     held->next_poll_at = now + POLL_RETRY_MS;
-  else if (held->last_listed > held->last_seen)
+  else if (held->last_listed_end > held->last_acked_end)
     held->next_poll_at = now + ACK_WAIT_MS;
   else
     poll_instance (held, now);
@@ -218,11 +218,11 @@
 
   call.id = held->id;
   call.address = held->address;
-  call.fence = held->fence;
-  call.last_seen = held->same_incarnation ? held->last_seen : 0;
+  call.fencing_token = held->fencing_token;
+  call.last_acked_end = held->same_incarnation ? held->last_acked_end : 0;
   call.deadline_ms = extend_lease (held, now);
   /* A poll does not wait while there are ends that are not acknowledged. */
-  if (held->same_incarnation && held->last_listed <= held->last_seen)
+  if (held->same_incarnation && held->last_listed_end <= held->last_acked_end)
     call.wait_ms = held->poll_wait_ms;
   held->poll_pending = true;
   backend->hold (backend->userdata, &call, on_poll_done, held);
@@ -247,18 +247,19 @@
   char id[RST_ID_SIZE];
   char address[RST_ADDRESS_SIZE];
   struct held_instance *held;
-  int64_t fence;
-  int64_t last_seen;
+  int64_t fencing_token;
+  int64_t last_acked_end;
 
   rst_reader_copy_text (reader, id, sizeof id);
   rst_reader_copy_text (reader, address, sizeof address);
-  fence = rst_reader_read_int (reader);
-  last_seen = rst_reader_read_int (reader);
+  fencing_token = rst_reader_read_int (reader);
+  last_acked_end = rst_reader_read_int (reader);
   if (reader->bad)
     return;
   held = g_hash_table_lookup (agent->instances, id);
   if (held != NULL
-      && (held->fence != fence || strcmp (held->address, address) != 0))
+      && (held->fencing_token != fencing_token
+          || strcmp (held->address, address) != 0))
     {
       /* The answer to a poll with the earlier token must not be taken for an
          answer with the new one. */
@@ -274,8 +275,8 @@
       g_strlcpy (held->address, address, sizeof held->address);
       g_hash_table_insert (agent->instances, held->id, held);
     }
-  held->fence = fence;
-  held->last_seen = MAX (held->last_seen, last_seen);
+  held->fencing_token = fencing_token;
+  held->last_acked_end = MAX (held->last_acked_end, last_acked_end);
   if (!held->poll_pending)
     poll_instance (held, agent->config.now ());
 }
@@ -294,9 +295,9 @@
   held = g_hash_table_lookup (agent->instances, id);
   /* Another incarnation numbers its ends from the beginning again. */
   if (reader->bad || held == NULL || incarnation != held->incarnation
-      || number > held->last_listed)
+      || number > held->last_listed_end)
     return;
-  held->last_seen = MAX (held->last_seen, number);
+  held->last_acked_end = MAX (held->last_acked_end, number);
   if (!held->poll_pending)
     poll_instance (held, agent->config.now ());
 }
@@ -365,7 +366,7 @@
     return NULL;
   call->id = held->id;
   call->address = held->address;
-  call->fence = held->fence;
+  call->fencing_token = held->fencing_token;
   call->task = order->task;
   call->attempt = order->attempt;
   return held;
--- a/src/cell/backend.h
+++ b/src/cell/backend.h
@@ -191,7 +191,7 @@
  * struct rst_instance_call - An order to an instance, or a poll of its runs.
  * @id: Id of the instance.
  * @address: Its address.
- * @fence: Fencing token of the caller.
+ * @fencing_token: Fencing token of the caller.
  * @task: Name of the task; NULL in a poll.
  * @attempt: Attempt of the task.
  * @spec: Text that the task receives.
@@ -199,8 +199,8 @@
  * @ticket: Advice ticket, or "".
  * @deadline_ms: Expiry of the lease on the instance's clock; 0 leaves the
  *   lease as it is.
- * @last_seen: Ends up to this number are stored, so the instance may forget
- *   them.
+ * @last_acked_end: Ends up to this number are stored, so the instance may
+ *   forget them.
  * @wait_ms: How long a poll may wait for a run to end.
  * @has_pace: Whether @pace_percent is set.
  * @pace_percent: Pace of the run, in percent of full speed.
@@ -209,14 +209,14 @@
 {
   const char *id;
   const char *address;
-  int64_t fence;
+  int64_t fencing_token;
   const char *task;
   int attempt;
   const char *spec;
   const char *checkpoint;
   const char *ticket;
   int64_t deadline_ms;
-  int64_t last_seen;
+  int64_t last_acked_end;
   int64_t wait_ms;
   bool has_pace;
   int pace_percent;
--- a/src/cell/plan_advice.c
+++ b/src/cell/plan_advice.c
@@ -374,7 +374,7 @@
         }
     }
   g_hash_table_remove (planner->advice_requests, &request->handle);
-  planner->changed = true;
+  planner->pass_wanted = true;
 }
 
 void
--- a/src/cell/plan_instances.c
+++ b/src/cell/plan_instances.c
@@ -229,7 +229,7 @@
   rst_info (RST_PLAN_LOG, "Agent connected.", "agent", name, "zone", zone);
   rst_plan_assign_instances (planner);
   rebalance_to_agent (planner, agent);
-  planner->changed = true;
+  planner->pass_wanted = true;
 }
 
 /* Start orders sent through an agent that has disconnected may never be
@@ -272,7 +272,7 @@
   rst_plan_end_link_requests (planner, link);
   g_ptr_array_remove (planner->agents, agent);
   rst_plan_assign_instances (planner);
-  planner->changed = true;
+  planner->pass_wanted = true;
 }
 
 /* Marks all runs of an instance as lost, since its earlier incarnation ended
@@ -305,7 +305,7 @@
   instance->entry = *entry;
   instance->registered = true;
   instance->unregistered_at = 0;
-  planner->changed = true;
+  planner->pass_wanted = true;
   if (instance->agent == NULL)
     rst_plan_assign_instances (planner);
   else if (address_changed
@@ -323,7 +323,7 @@
     return;
   instance->registered = false;
   instance->unregistered_at = planner->now;
-  planner->changed = true;
+  planner->pass_wanted = true;
   rst_info (RST_PLAN_LOG,
             "Instance was unregistered; it takes no more starts.", "instance",
             id);
@@ -476,7 +476,7 @@
 {
   GHashTable *listed
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  int64_t last_seen_end = instance->last_seen_end;
+  int64_t last_applied_end = instance->last_applied_end;
 
   instance->has_unknown_run = false;
   for (uint32_t i = 0; i < runs->count; i++)
@@ -490,10 +490,10 @@
           g_hash_table_add (listed, g_strdup (run.task));
           update_listed_run (planner, instance, &run);
         }
-      else if (run.end_number > last_seen_end)
+      else if (run.end_number > last_applied_end)
         {
-          instance->last_seen_end
-              = MAX (instance->last_seen_end, run.end_number);
+          instance->last_applied_end
+              = MAX (instance->last_applied_end, run.end_number);
           rst_plan_apply_end (planner, instance, &run);
           planner->acks_pending = true;
         }
@@ -533,7 +533,7 @@
     mark_runs_lost (planner, instance, "instance restarted");
   instance->incarnation = incarnation;
   instance->incarnation_seen_at = planner->now;
-  instance->last_seen_end = 0;
+  instance->last_applied_end = 0;
   instance->last_acked_end = 0;
   instance->committing_end = 0;
   instance->failures = 0;
--- a/src/cell/plan_jobs.c
+++ b/src/cell/plan_jobs.c
@@ -162,7 +162,7 @@
 void
 rst_plan_enqueue_step (struct rst_planner *planner, struct step *step)
 {
-  planner->changed = true;
+  planner->pass_wanted = true;
   /* During the restore, a later record may say that the job has ended. */
   if (!planner->restored || step->enqueued || !step_is_ready (step))
     return;
@@ -307,12 +307,11 @@
 send_reply (struct rst_planner *planner, const struct rst_planner_call *call,
             enum rst_outcome outcome)
 {
-  struct rst_reply answer = { .outcome = outcome };
+  struct rst_reply reply = { .outcome = outcome };
 
   if (outcome == RST_OUTCOME_REJECTED)
-    answer.retry_s = RETRY_AFTER_S;
-  planner->ops.reply (planner->ops.userdata, call->link, call->number,
-                      &answer);
+    reply.retry_s = RETRY_AFTER_S;
+  planner->ops.reply (planner->ops.userdata, call->link, call->number, &reply);
 }
 
 static void
@@ -327,7 +326,7 @@
 void
 rst_plan_reply_committed (struct rst_planner *planner, struct job *job)
 {
-  struct rst_reply answer = { .outcome = RST_OUTCOME_OK };
+  struct rst_reply reply = { .outcome = RST_OUTCOME_OK };
 
   for (guint i = job->pending_replies->len; i-- > 0;)
     {
@@ -340,7 +339,7 @@
           && job->committed_state != RST_JOB_FAILED)
         continue;
       planner->ops.reply (planner->ops.userdata, pending_reply.link,
-                          pending_reply.call, &answer);
+                          pending_reply.call, &reply);
       g_array_remove_index_fast (job->pending_replies, i);
     }
 }
@@ -411,23 +410,22 @@
                   const struct queue *queue, const char *id)
 {
   struct job *job = g_hash_table_lookup (planner->jobs, id);
-  struct rst_reply answer = { .outcome = RST_OUTCOME_STATE };
+  struct rst_reply reply = { .outcome = RST_OUTCOME_STATE };
 
   if (id[0] == '\0')
     {
-      answer.outcome = RST_OUTCOME_COUNT;
-      answer.count = queue->pending;
+      reply.outcome = RST_OUTCOME_COUNT;
+      reply.count = queue->pending;
     }
   else if (job == NULL)
-    answer.outcome = RST_OUTCOME_NO_JOB;
+    reply.outcome = RST_OUTCOME_NO_JOB;
   else if (rst_plan_job_has_ended (job) && job->committed_state != job->state)
-    answer.state = RST_JOB_RUNNING;
+    reply.state = RST_JOB_RUNNING;
   else if (rst_plan_job_has_ended (job))
-    answer.state = job->state;
+    reply.state = job->state;
   else
-    answer.state = job->has_started ? RST_JOB_RUNNING : RST_JOB_QUEUED;
-  planner->ops.reply (planner->ops.userdata, call->link, call->number,
-                      &answer);
+    reply.state = job->has_started ? RST_JOB_RUNNING : RST_JOB_QUEUED;
+  planner->ops.reply (planner->ops.userdata, call->link, call->number, &reply);
 }
 
 static void
@@ -473,7 +471,7 @@
   struct customer *customer
       = route != NULL ? find_customer (planner, route, call->key) : NULL;
 
-  planner->changed = true;
+  planner->pass_wanted = true;
   if (route == NULL)
     send_reply (planner, call, RST_OUTCOME_NO_QUEUE);
   else if (customer == NULL)
--- a/src/cell/plan_journal.c
+++ b/src/cell/plan_journal.c
@@ -220,7 +220,7 @@
 }
 
 static void
-mark_instances_and_queues (struct rst_planner *planner)
+mark_instances_and_queues_committing (struct rst_planner *planner)
 {
   GHashTableIter iter;
   gpointer value;
@@ -257,7 +257,7 @@
     {
       struct instance *instance = value;
 
-      instance->committing_end = instance->last_seen_end;
+      instance->committing_end = instance->last_applied_end;
     }
 }
 
@@ -309,7 +309,7 @@
   if (removed > 0)
     invalidate_instances_and_queues (planner);
   others = pack_instances_and_queues (planner, &records);
-  mark_instances_and_queues (planner);
+  mark_instances_and_queues_committing (planner);
   rst_pack_init (&pack, jobs + (guint)others);
   rst_pack_append (&pack, &records);
   for (int i = 0; i < removed; i++)
@@ -390,7 +390,7 @@
 rst_planner_commit_done (struct rst_planner *planner)
 {
   planner->commit_busy = false;
-  planner->changed = true;
+  planner->pass_wanted = true;
   rst_histogram_add (&planner->stats.commit_ms,
                      planner->now - planner->last_commit_at);
   confirm_instance_records (planner);
--- a/src/cell/plan_pace.c
+++ b/src/cell/plan_pace.c
@@ -79,7 +79,7 @@
 }
 
 static void
-log_pace (const struct run *run, int64_t load)
+log_pace (const struct run *run, int64_t load_percent)
 {
   char pace_text[16];
   char load_text[24];
@@ -87,7 +87,7 @@
   if (!rst_log_enabled (G_LOG_LEVEL_INFO))
     return;
   g_snprintf (pace_text, sizeof pace_text, "%d", run->pace_percent);
-  g_snprintf (load_text, sizeof load_text, "%" PRId64, load);
+  g_snprintf (load_text, sizeof load_text, "%" PRId64, load_percent);
   rst_info (RST_PLAN_LOG, "Pace of a best-effort run changed.", "task",
             run->name, "instance", run->instance->entry.id, "percent",
             pace_text, "worst_load", load_text);
@@ -96,9 +96,10 @@
 /* Adjusts the pace of a best-effort run.  Since a pace order may get lost, it
    is repeated while the run is slowed. */
 static void
-adjust_run_pace (struct rst_planner *planner, struct run *run, int64_t load)
+adjust_run_pace (struct rst_planner *planner, struct run *run,
+                 int64_t load_percent)
 {
-  int next = rst_pace_adjust (run->pace_percent, load);
+  int next = rst_pace_adjust (run->pace_percent, load_percent);
 
   if (planner->now - run->pace_sent_at < RST_PACE_INTERVAL_MS
       || (next == run->pace_percent && next == RST_PACE_FULL_PERCENT))
@@ -109,7 +110,7 @@
   if (next != run->pace_percent)
     {
       run->pace_percent = next;
-      log_pace (run, load);
+      log_pace (run, load_percent);
     }
   send_pace (planner, run);
 }
@@ -118,19 +119,19 @@
 rst_plan_adjust_pace (struct rst_planner *planner, struct instance *instance)
 {
   bool has_best_effort;
-  int64_t load = find_worst_load (instance, &has_best_effort);
+  int64_t load_percent = find_worst_load (instance, &has_best_effort);
   GHashTableIter iter;
   gpointer value;
 
   if (instance->agent == NULL)
     return;
   send_poll_wait (planner, instance,
-                  has_best_effort && load >= 0 ? SHARED_POLL_WAIT_MS
-                                               : POLL_WAIT_MS);
+                  has_best_effort && load_percent >= 0 ? SHARED_POLL_WAIT_MS
+                                                       : POLL_WAIT_MS);
   if (!has_best_effort)
     return;
   g_hash_table_iter_init (&iter, instance->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (is_best_effort (value) && ((struct run *)value)->state == RUN_RUNNING)
-      adjust_run_pace (planner, value, MAX (load, 0));
+      adjust_run_pace (planner, value, MAX (load_percent, 0));
 }
--- a/src/cell/plan_place.c
+++ b/src/cell/plan_place.c
@@ -143,9 +143,9 @@
 {
   const struct job *job = step->occurrence->job;
   const struct rst_queue *queue = &job->queue->settings;
-  int64_t value
+  int64_t start_by_rank
       = step->start_by_ms - planner->unix_ms + RANK_BAND_PRIORITY / 2;
-  int64_t urgent = queue->priority == 0 ? 0 : RANK_BAND_PRIORITY;
+  int64_t priority_offset = queue->priority == 0 ? 0 : RANK_BAND_PRIORITY;
 
   if (planner->order == RST_STEP_ORDER_FIFO)
     return step->occurrence->due_ms;
@@ -153,12 +153,12 @@
     return 0;
   if (planner->unix_ms > step->occurrence->due_ms
                              + MISSED_OBJECTIVE_FACTOR * step->objective_ms)
-    return RANK_BAND_MISSED + value;
+    return RANK_BAND_MISSED + start_by_rank;
   if (job->over_share)
-    return RANK_BAND_OVER_SHARE + value;
+    return RANK_BAND_OVER_SHARE + start_by_rank;
   if (planner->unix_ms > step->start_by_ms)
-    return RANK_BAND_LATE + urgent + value;
-  return urgent + value;
+    return RANK_BAND_LATE + priority_offset + start_by_rank;
+  return priority_offset + start_by_rank;
 }
 
 static gint
--- a/src/cell/plan_record.c
+++ b/src/cell/plan_record.c
@@ -45,14 +45,14 @@
 static void
 pack_progress (struct rst_pack *pack, const struct job *job)
 {
-  bool over = rst_plan_job_has_ended (job);
+  bool has_ended = rst_plan_job_has_ended (job);
 
   rst_pack_array (pack, 4);
   rst_pack_int (pack, job->state);
   rst_pack_int (pack, job->occurrences_left);
   rst_pack_int (pack, job->next_occurrence);
-  rst_pack_array (pack, over ? 0 : job->occurrences->len);
-  for (guint k = 0; !over && k < job->occurrences->len; k++)
+  rst_pack_array (pack, has_ended ? 0 : job->occurrences->len);
+  for (guint k = 0; !has_ended && k < job->occurrences->len; k++)
     {
       const struct occurrence *occurrence
           = g_ptr_array_index (job->occurrences, k);
--- a/src/cell/plan_restore.c
+++ b/src/cell/plan_restore.c
@@ -368,11 +368,11 @@
 static void
 resume_job (struct rst_planner *planner, struct job *job)
 {
-  bool over = rst_plan_job_has_ended (job);
+  bool has_ended = rst_plan_job_has_ended (job);
 
-  if (over && !job->has_started && job->desc->repeats == 0)
+  if (has_ended && !job->has_started && job->desc->repeats == 0)
     job->queue->pending--;
-  if (over)
+  if (has_ended)
     return;
   for (guint k = 0; k < job->occurrences->len; k++)
     {
@@ -395,7 +395,7 @@
   g_hash_table_iter_init (&iter, planner->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     resume_job (planner, value);
-  planner->changed = true;
+  planner->pass_wanted = true;
   rst_plan_assign_instances (planner);
   g_snprintf (jobs, sizeof jobs, "%u", g_hash_table_size (planner->jobs));
   g_snprintf (segments, sizeof segments, "%u",
--- a/src/cell/planner.c
+++ b/src/cell/planner.c
@@ -164,7 +164,7 @@
     }
   rst_cellconfig_destroy (planner->config);
   planner->config = config;
-  planner->changed = true;
+  planner->pass_wanted = true;
 }
 
 void
@@ -179,14 +179,14 @@
             evacuated ? "Zone is evacuated; it takes no more starts."
                       : "Zone is no longer evacuated; it takes starts again.",
             "zone", zone);
-  planner->changed = true;
+  planner->pass_wanted = true;
 }
 
 void
 rst_planner_receive_message (struct rst_planner *planner, uint64_t link,
                              int kind, struct rst_reader *reader)
 {
-  planner->changed = true;
+  planner->pass_wanted = true;
   switch (kind)
     {
     case RST_MSG_REPORT:
@@ -272,18 +272,18 @@
       planner->next_check_at = planner->now + CHECK_INTERVAL_MS;
       rst_plan_check_instances (planner);
       rst_plan_begin_due_occurrences (planner);
-      planner->changed = true;
+      planner->pass_wanted = true;
     }
   wake = planner->next_check_at;
-  if (planner->changed && planner->now >= planner->next_pass_at)
+  if (planner->pass_wanted && planner->now >= planner->next_pass_at)
     {
-      planner->changed = false;
+      planner->pass_wanted = false;
       planner->next_pass_at
           = planner->now + PASS_INTERVAL_MS
             + planner->waiting_steps->len / PASS_STEPS_PER_MS;
       rst_plan_place_steps (planner);
     }
-  else if (planner->changed)
+  else if (planner->pass_wanted)
     wake = MIN (wake, planner->next_pass_at);
   rst_plan_commit (planner);
   if (planner->dirty_jobs->len > 0 && !planner->commit_busy)
--- a/src/cell/planner_private.h
+++ b/src/cell/planner_private.h
@@ -95,7 +95,7 @@
   int64_t fenced_incarnation;
   /* Numbers of the last end applied, of the last one acknowledged and of
      the last one in the commit under way. */
-  int64_t last_seen_end;
+  int64_t last_applied_end;
   int64_t last_acked_end;
   int64_t committing_end;
   /* Whether it has an entry in the store. */
@@ -395,7 +395,7 @@
   /* Whether some instance is still inherited. */
   bool has_inherited;
   /* Whether a placement pass is wanted. */
-  bool changed;
+  bool pass_wanted;
   uint64_t next_handle;
   rst_ms next_check_at;
   /* Earliest time of the next placement pass. */
--- a/src/daemon/cell_loop.c
+++ b/src/daemon/cell_loop.c
@@ -357,7 +357,7 @@
 }
 
 static void
-advice_request (void *userdata, const char *step, const char *const *ids,
+request_advice (void *userdata, const char *step, const char *const *ids,
                 int count, rst_advice_done done, void *done_data)
 {
   struct rst_cell_loop *loop = userdata;
@@ -375,7 +375,7 @@
 {
   struct rst_backend wrapped = { store_get,     store_range,   store_watch,
                                  store_commit,  instance_hold, instance_start,
-                                 instance_stop, instance_pace, advice_request,
+                                 instance_stop, instance_pace, request_advice,
                                  loop };
 
   loop->backend = backend;
--- a/src/daemon/celld.c
+++ b/src/daemon/celld.c
@@ -142,7 +142,7 @@
 /* Planning for 350 instances takes 0.13 cores, so a machine with little more
    than that waits for larger ones to take over. */
 static rst_ms
-standby_delay_ms (const struct settings *settings)
+get_standby_delay_ms (const struct settings *settings)
 {
   double share = g_ascii_strtod (settings->cpu_share, NULL);
   double link = g_ascii_strtod (settings->link_mbps, NULL);
@@ -175,7 +175,7 @@
   config.timing.status_ms = settings->status_s * 1000;
   config.timing.early_ms = settings->early_ms;
   config.jitter_ms = (rst_ms)(rst_os_random () % TAKEOVER_JITTER_MS);
-  config.standby_delay_ms = standby_delay_ms (settings);
+  config.standby_delay_ms = get_standby_delay_ms (settings);
   celld->node = rst_cell_node_create (&config);
 }
 
--- a/src/daemon/entryd.c
+++ b/src/daemon/entryd.c
@@ -147,7 +147,7 @@
 /* ---- Requests ----------------------------------------------------------- */
 
 static char *
-metrics_page (struct daemon *daemon)
+format_metrics_page (struct daemon *daemon)
 {
   const struct rst_entry_counters *counters
       = rst_entry_get_counters (daemon->entry);
@@ -198,7 +198,7 @@
     }
   else if (strcmp (path, "/metrics") == 0)
     {
-      text = metrics_page (daemon);
+      text = format_metrics_page (daemon);
       rst_http_request_reply (http, 200, "text/plain; version=0.0.4", text,
                               strlen (text), 0);
       g_free (text);
@@ -223,16 +223,16 @@
 {
   const char *path = rst_http_request_path (http);
   const char *method = rst_http_request_method (http);
-  bool post = strcmp (method, "POST") == 0;
-  bool get = strcmp (method, "GET") == 0;
+  bool is_post = strcmp (method, "POST") == 0;
+  bool is_get = strcmp (method, "GET") == 0;
 
-  if (post && strcmp (path, "/v1/requests") == 0)
+  if (is_post && strcmp (path, "/v1/requests") == 0)
     request->operation = 0;
-  else if (post && strcmp (path, "/v1/jobs") == 0)
+  else if (is_post && strcmp (path, "/v1/jobs") == 0)
     request->operation = RST_JOB_SUBMIT;
-  else if (get && strcmp (path, "/v1/jobs") == 0)
+  else if (is_get && strcmp (path, "/v1/jobs") == 0)
     request->operation = RST_JOB_LIST;
-  else if (g_str_has_prefix (path, "/v1/jobs/") && get)
+  else if (g_str_has_prefix (path, "/v1/jobs/") && is_get)
     request->operation = RST_JOB_GET;
   else if (g_str_has_prefix (path, "/v1/jobs/")
            && strcmp (method, "DELETE") == 0)
--- a/src/daemon/jobd.c
+++ b/src/daemon/jobd.c
@@ -443,11 +443,11 @@
   for (GList *node = calls; node != NULL; node = node->next)
     {
       struct pending_call *call = node->data;
-      bool sent = call->sent || call->sent_on_lost_link;
+      bool was_sent = call->sent || call->sent_on_lost_link;
 
-      if (sent && now >= call->answer_deadline)
+      if (was_sent && now >= call->answer_deadline)
         reject_call (jobd, call, 504, "no answer in time", 0);
-      else if (!sent
+      else if (!was_sent
                && (now >= call->answer_deadline
                    || now - call->received_at >= UNSENT_TIMEOUT_MS))
         reject_call (jobd, call, 503, "no planner", 1);
--- a/src/daemon/schedd.c
+++ b/src/daemon/schedd.c
@@ -176,7 +176,7 @@
 /* ---- Status pages ------------------------------------------------------- */
 
 static char *
-metrics_page (struct daemon *daemon)
+format_metrics_page (struct daemon *daemon)
 {
   const struct rst_scheduler_counters *counters
       = rst_scheduler_get_counters (daemon->scheduler);
@@ -237,7 +237,7 @@
     }
   else if (strcmp (path, "/metrics") == 0)
     {
-      text = metrics_page (daemon);
+      text = format_metrics_page (daemon);
       rst_http_request_reply (request, 200, "text/plain; version=0.0.4", text,
                               strlen (text), 0);
       g_free (text);
@@ -261,7 +261,7 @@
 }
 
 static void
-on_platform (struct rst_platform_request *request, void *userdata)
+on_platform_request (struct rst_platform_request *request, void *userdata)
 {
   struct daemon *daemon = userdata;
   struct rst_event *event = g_new0 (struct rst_event, 1);
@@ -370,7 +370,7 @@
   g_strlcpy (config.list_address, settings->list_address, RST_ADDRESS_SIZE);
   config.store_timeout_ms = settings->store_timeout_ms;
   config.instance_timeout_ms = settings->instance_timeout_ms;
-  config.deliver = on_platform;
+  config.deliver = on_platform_request;
   config.userdata = daemon;
   daemon->platform = rst_platform_http_create (&config);
   return daemon->platform != NULL;
--- a/src/daemon/term.c
+++ b/src/daemon/term.c
@@ -94,13 +94,13 @@
 }
 
 static void
-send_heartbeats (struct rst_term *term, rst_ms age)
+send_heartbeats (struct rst_term *term, rst_ms store_age_ms)
 {
   struct rst_pack pack;
 
   rst_pack_init (&pack, 2);
   rst_pack_int (&pack, RST_MSG_HEARTBEAT);
-  rst_pack_int (&pack, age);
+  rst_pack_int (&pack, store_age_ms);
   broadcast (term, &pack);
   rst_pack_clear (&pack);
 }
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -48,7 +48,7 @@
   CURLM *multi;
   struct rst_mailbox *mailbox;
   pthread_t thread;
-  atomic_bool stop;
+  atomic_bool stop_requested;
   CK_LIST_HEAD (transfer_list, transfer) active;
 };
 
@@ -136,7 +136,7 @@
 }
 
 static int
-error_from_curl (struct transfer *transfer, CURLcode code)
+map_curl_error (struct transfer *transfer, CURLcode code)
 {
   long sent = 0;
 
@@ -183,7 +183,7 @@
       if (message->msg != CURLMSG_DONE)
         continue;
       curl_easy_getinfo (message->easy_handle, CURLINFO_PRIVATE, &transfer);
-      finish_transfer (client, transfer, error_from_curl (transfer, code));
+      finish_transfer (client, transfer, map_curl_error (transfer, code));
     }
 }
 
@@ -194,7 +194,7 @@
   struct transfer *transfer;
   int running;
 
-  while (!atomic_load (&client->stop))
+  while (!atomic_load (&client->stop_requested))
     {
       while ((transfer = rst_mailbox_take (client->mailbox)) != NULL)
         start_transfer (client, transfer);
@@ -270,7 +270,7 @@
 {
   if (client == NULL)
     return;
-  atomic_store (&client->stop, true);
+  atomic_store (&client->stop_requested, true);
   curl_multi_wakeup (client->multi);
   pthread_join (client->thread, NULL);
   curl_multi_cleanup (client->multi);
--- a/src/transport/net.c
+++ b/src/transport/net.c
@@ -67,7 +67,7 @@
   struct rst_mailbox *mailbox;
   GHashTable *connections;
   pthread_t thread;
-  atomic_bool stop;
+  atomic_bool stop_requested;
   atomic_uint_fast64_t next_id;
   rst_ms next_check_at;
 };
@@ -398,7 +398,7 @@
   struct rst_net *net = userdata;
   struct epoll_event events[NET_EVENTS_MAX];
 
-  while (!atomic_load (&net->stop))
+  while (!atomic_load (&net->stop_requested))
     {
       int count = epoll_wait (net->epoll_fd, events, NET_EVENTS_MAX,
                               (int)(net->config.heartbeat_interval_ms / 2));
@@ -559,7 +559,7 @@
 {
   if (net == NULL)
     return;
-  atomic_store (&net->stop, true);
+  atomic_store (&net->stop_requested, true);
   rst_os_event_signal (rst_mailbox_fd (net->mailbox));
   pthread_join (net->thread, NULL);
   net_free (net);
--- a/src/util/log.c
+++ b/src/util/log.c
@@ -75,7 +75,7 @@
 }
 
 static const char *
-level_name (GLogLevelFlags level)
+get_level_name (GLogLevelFlags level)
 {
   if (level & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL))
     return "error";
@@ -124,7 +124,7 @@
               const GLogField *fields, gsize count)
 {
   g_string_append_printf (line, "%s %s %s: %s: %s", timestamp,
-                          log_state.process, level_name (level),
+                          log_state.process, get_level_name (level),
                           find_field (fields, count, "GLIB_DOMAIN"),
                           find_field (fields, count, "MESSAGE"));
   for (gsize i = 0; i < count; i++)
@@ -150,7 +150,7 @@
   g_string_append_c (line, '{');
   append_json_field (line, "time", timestamp);
   append_json_field (line, "process", log_state.process);
-  append_json_field (line, "level", level_name (level));
+  append_json_field (line, "level", get_level_name (level));
   append_json_field (line, "part", find_field (fields, count, "GLIB_DOMAIN"));
   append_json_field (line, "message", find_field (fields, count, "MESSAGE"));
   for (gsize i = 0; i < count; i++)
--- a/test/cell/instances.cc
+++ b/test/cell/instances.cc
@@ -82,9 +82,10 @@
 
 // Removes the ends that the caller has stored, and counts them for the oracle.
 void
-World::acknowledge_ends (Instance &instance, int64_t last_seen)
+World::acknowledge_ends (Instance &instance, int64_t last_acked_end)
 {
-  while (!instance.ends.empty () && instance.ends.front ().number <= last_seen)
+  while (!instance.ends.empty ()
+         && instance.ends.front ().number <= last_acked_end)
     {
       const RunEnd &end = instance.ends.front ();
       Job &job = jobs[get_job_id (end.task)];
@@ -271,7 +272,7 @@
                     std::min (order.lease_expires_at,
                               get_clock (instance) + max_lease_ms));
   if (order.kind == ORDER_POLL)
-    acknowledge_ends (instance, order.last_seen);
+    acknowledge_ends (instance, order.last_acked_end);
   else if (order.kind == ORDER_START)
     apply_start (instance, order, answer);
   else
@@ -429,9 +430,9 @@
   order.kind = kind;
   order.task = call.task != nullptr ? call.task : "";
   order.attempt = call.attempt;
-  order.fencing_token = call.fence;
+  order.fencing_token = call.fencing_token;
   order.lease_expires_at = call.deadline_ms;
-  order.last_seen = call.last_seen;
+  order.last_acked_end = call.last_acked_end;
   if (instance == nullptr || !instance->is_up)
     {
       fail_call (network_delay_ms, RST_RESULT_NOT_SENT);
--- a/test/cell/world.h
+++ b/test/cell/world.h
@@ -96,7 +96,7 @@
   // On the clock of the instance; 0 leaves the lease as it is.
   Millis lease_expires_at = 0;
   // Acknowledges the ends up to this number.
-  int64_t last_seen = 0;
+  int64_t last_acked_end = 0;
   // Number of restarts and incarnation of the instance at the time of sending.
   int restarts = 0;
   int64_t incarnation = 0;
@@ -327,7 +327,7 @@
                              uint64_t node_incarnation, uint64_t call,
                              rst_instance_done done, void *data, bool is_poll);
   void check_start (Instance &instance, const std::string &task, int attempt);
-  void acknowledge_ends (Instance &instance, int64_t last_seen);
+  void acknowledge_ends (Instance &instance, int64_t last_acked_end);
   void end_run (Instance &instance, const std::string &task, int end_reason);
   double get_failure_probability (const std::string &task);
   void start_complete_gang (const std::string &step, int count);
--- a/test/unit/adapter_test.cc
+++ b/test/unit/adapter_test.cc
@@ -36,7 +36,7 @@
 {
   rst_instance_call call = {};
 
-  call.fence = 3;
+  call.fencing_token = 3;
   call.task = "t";
   call.attempt = 2;
   call.spec = "s";
@@ -54,7 +54,7 @@
 {
   rst_instance_call call = {};
 
-  call.fence = 3;
+  call.fencing_token = 3;
   call.task = "t";
   call.attempt = 2;
   call.has_pace = true;
--- a/test/unit/agent_test.cc
+++ b/test/unit/agent_test.cc
@@ -13,7 +13,7 @@
 {
   bool is_poll;
   int64_t deadline;
-  int64_t last_seen;
+  int64_t last_acked_end;
   int64_t wait;
   rst_instance_done done;
   void *data;
@@ -34,8 +34,8 @@
     backend.hold = [] (void *userdata, const rst_instance_call *call,
                        rst_instance_done done, void *data) {
       static_cast<Agent *> (userdata)->calls.push_back (
-          AgentCall{ true, call->deadline_ms, call->last_seen, call->wait_ms,
-                     done, data });
+          AgentCall{ true, call->deadline_ms, call->last_acked_end,
+                     call->wait_ms, done, data });
     };
     backend.start = [] (void *userdata, const rst_instance_call *call,
                         rst_instance_done done, void *data) {
@@ -168,7 +168,7 @@
   EXPECT_TRUE (calls.empty ());
   deliver_message (RST_MSG_ACK, { "i" }, { 3, 1 });
   ASSERT_EQ (calls.size (), 1u);
-  EXPECT_EQ (calls[0].last_seen, 3);
+  EXPECT_EQ (calls[0].last_acked_end, 3);
   EXPECT_GT (calls[0].wait, 0);
 }
 
@@ -181,7 +181,7 @@
   agent_now += 400;
   rst_agent_run (agent);
   ASSERT_EQ (calls.size (), 1u);
-  EXPECT_EQ (calls[0].last_seen, 0);
+  EXPECT_EQ (calls[0].last_acked_end, 0);
   EXPECT_EQ (calls[0].wait, 0);
 }
 
@@ -193,7 +193,7 @@
   EXPECT_TRUE (calls.empty ());
   deliver_message (RST_MSG_ACK, { "i" }, { 3, 2 });
   ASSERT_EQ (calls.size (), 1u);
-  EXPECT_EQ (calls[0].last_seen, 3);
+  EXPECT_EQ (calls[0].last_acked_end, 3);
 }
 
 TEST_F (Agent, ExtendsNoLeaseWhenTheLastConfirmationIsTooOld)
