--- a/src/cell/jobdesc.c
+++ b/src/cell/jobdesc.c
@@ -121,6 +121,7 @@
   rst_pack_text (pack, step->label);
   rst_pack_text (pack, step->rack);
   rst_pack_text (pack, step->image);
+  /* This member is not used; read_step() skips it. */
   rst_pack_int (pack, 0);
   rst_pack_array (pack, (size_t)step->after_count);
   for (int i = 0; i < step->after_count; i++)
--- a/src/cell/messages.h
+++ b/src/cell/messages.h
@@ -16,7 +16,7 @@
  * @RST_MSG_REDIRECT: Epoch, address.  Another process is the planner now.
  * @RST_MSG_HOLD: To an agent: instance, address, fencing token, number of the
  *   last stored end.  The agent is to hold the instance.
- * @RST_MSG_RELEASE: To an agent: instance.  Another agent holds it now.
+ * @RST_MSG_RELEASE: To an agent: instance.  The agent no longer holds it.
  * @RST_MSG_START: To an agent: instance, task, attempt, spec, checkpoint,
  *   ticket.
  * @RST_MSG_STOP: To an agent: instance, task, attempt.
--- a/src/cell/plan_advice.c
+++ b/src/cell/plan_advice.c
@@ -128,6 +128,8 @@
           = gang ? -candidate.slots * candidate.chance
                  : (double)(instance->entry.capacity.cpu - instance->used.cpu)
                        - 100000.0 * (candidate.chance >= 1.0);
+      /* Instances where runs failed lately come later.  For a single task, a
+         failure counts as much as four free cores. */
       candidate.score += 4000.0 * MIN (instance->failures, 4);
       g_array_append_val (found, candidate);
     }
--- a/src/cell/plan_journal.c
+++ b/src/cell/plan_journal.c
@@ -60,8 +60,9 @@
 }
 
 /* The oldest segments, which may hold the record of the instance, are about to
-   be removed, so it is recorded again.  One that does not answer and may have
-   runs still counts as recorded, so that it is recorded as unreachable. */
+   be removed, so it is recorded again.  An instance that does not answer and
+   may have runs stays marked as recorded, because needs_unreachable_record()
+   selects only such instances. */
 static void
 invalidate_instance_record (struct instance *instance)
 {
--- a/src/cell/plan_place.c
+++ b/src/cell/plan_place.c
@@ -137,7 +137,9 @@
 }
 
 /* Within a band, steps are ranked by the time by which they have to start to
-   meet the objective.  Long-running steps come before all others. */
+   meet the objective; half a priority band is added so that the rank of a
+   late step does not fall below its band.  Long-running steps come before all
+   others. */
 static int64_t
 compute_rank (const struct rst_planner *planner, const struct step *step)
 {
--- a/src/cell/planner_client.c
+++ b/src/cell/planner_client.c
@@ -183,8 +183,9 @@
 {
   rst_ms now = client->config.now ();
 
-  /* A link that was closed soon after it was requested, or soon after the
-     last heartbeat, was closed by the peer, which is not the planner then. */
+  /* A silent peer's link is closed only after a timeout.  One that closes
+     soon after it was requested, or soon after the store's last confirmation,
+     was closed by the peer, so that process is no longer the planner. */
   client->closed_by_peer
       = now - client->connect_started_at < TAKEOVER_AFTER_CLOSE_MS
         || now - client->confirmed_at < TAKEOVER_AFTER_SILENCE_MS;
--- a/src/cell/planner_private.h
+++ b/src/cell/planner_private.h
@@ -394,7 +394,7 @@
   bool acks_pending;
   /* Whether some instance is still inherited. */
   bool has_inherited;
-  /* Whether a placement pass is wanted. */
+  /* Whether something happened since the last placement pass. */
   bool pass_wanted;
   uint64_t next_handle;
   rst_ms next_check_at;
--- a/src/transport/net.c
+++ b/src/transport/net.c
@@ -403,6 +403,7 @@
       int count = epoll_wait (net->epoll_fd, events, NET_EVENTS_MAX,
                               (int)(net->config.heartbeat_interval_ms / 2));
 
+      /* Ids 0 and 1 are not connections; rst_net_create() sets them. */
       for (int i = 0; i < count; i++)
         {
           if (events[i].data.u64 == 0)
