--- a/src/cell/jobdesc.c
+++ b/src/cell/jobdesc.c
@@ -95,7 +95,7 @@
 }
 
 static int
-step_flags (const struct rst_step *step)
+encode_step_flags (const struct rst_step *step)
 {
   return (step->gang ? FLAG_GANG : 0)
          | (step->prefers_one_rack ? FLAG_PREFERS_ONE_RACK : 0)
@@ -114,7 +114,7 @@
   rst_pack_int (pack, step->need.memory);
   rst_pack_int (pack, step->need.gpu);
   rst_pack_int (pack, step->estimate_ms);
-  rst_pack_int (pack, step_flags (step));
+  rst_pack_int (pack, encode_step_flags (step));
   rst_pack_int (pack, step->max_per_instance);
   rst_pack_int (pack, step->max_unavailable);
   rst_pack_int (pack, step->target_ms);
