--- a/src/daemon/cell_metrics.c
+++ b/src/daemon/cell_metrics.c
@@ -108,7 +108,7 @@
 static void
 add_counters (GString *page, const struct rst_planner_stats *stats)
 {
-  rst_metrics_add_counter (page, "jobs_accepted_total", "Jobs submitted.",
+  rst_metrics_add_counter (page, "jobs_accepted_total", "Jobs handed in.",
                            stats->accepted);
   rst_metrics_add_counter (page, "jobs_completed_total",
                            "Jobs that completed.", stats->completed);
@@ -136,7 +136,7 @@
 add_latencies (GString *page, const struct rst_planner_stats *stats)
 {
   rst_metrics_begin_family (page, "commit_seconds", "histogram",
-                            "Time from a commit to its confirmation.");
+                            "Time from a commit to the store's word.");
   rst_metrics_add_histogram (page, "commit_seconds", no_label,
                              &stats->commit_ms);
   rst_metrics_begin_family (page, "advice_seconds", "histogram",
@@ -179,11 +179,10 @@
   rst_planner_foreach_queue (planner, add_pending, page);
   rst_metrics_begin_family (
       page, "first_start_seconds", "histogram",
-      "Time from the submission of a job to its first start order.");
+      "Time from handing a job in to the first order for it.");
   rst_planner_foreach_queue (planner, add_first_start, page);
-  rst_metrics_begin_family (
-      page, "job_seconds", "histogram",
-      "Time from the submission of a job to its completion.");
+  rst_metrics_begin_family (page, "job_seconds", "histogram",
+                            "Time from handing a job in to its completion.");
   rst_planner_foreach_queue (planner, add_job_time, page);
 }
 
