--- a/src/coordination/entry_private.h
+++ b/src/coordination/entry_private.h
@@ -74,7 +74,7 @@
   GPtrArray *seed_addresses;
   struct rst_retry_budget retry_budget;
   struct rst_entry_counters counters;
-  uint64_t next_id;
+  uint64_t last_id;
   rst_ms connect_next_at;
   rst_ms digest_next_at;
   rst_ms expire_next_at;
--- a/src/coordination/entry_request.c
+++ b/src/coordination/entry_request.c
@@ -76,7 +76,7 @@
 {
   struct pending_request *pending = g_new0 (struct pending_request, 1);
 
-  pending->id = ++entry->next_id;
+  pending->id = ++entry->last_id;
   pending->handle = handle;
   pending->deadline = rst_entry_now (entry) + deadline_ms;
   pending->expires_at = pending->deadline + DEADLINE_GRACE_MS;
--- a/src/coordination/sched_instance.c
+++ b/src/coordination/sched_instance.c
@@ -199,8 +199,8 @@
 }
 
 static void
-apply_owned (struct rst_scheduler *sched, const struct rst_zone *zone,
-             const struct rst_ownership *ownership)
+apply_ownership (struct rst_scheduler *sched, const struct rst_zone *zone,
+                 const struct rst_ownership *ownership)
 {
   bool mine = strcmp (ownership->owner, sched->incarnation) == 0;
   struct instance *instance;
@@ -231,7 +231,7 @@
   const struct rst_zone *zone = sched_get_zone (sched);
 
   for (int i = 0; i < zone->owned_count; i++)
-    apply_owned (sched, zone, &zone->owned[i]);
+    apply_ownership (sched, zone, &zone->owned[i]);
   for (guint i = sched->owned->len; i > 0; i--)
     {
       struct instance *instance = g_ptr_array_index (sched->owned, i - 1);
--- a/src/coordination/sched_instance_adopt.c
+++ b/src/coordination/sched_instance_adopt.c
@@ -135,7 +135,7 @@
 }
 
 static void
-adopted (struct instance *instance)
+finish_adoption (struct instance *instance)
 {
   char epoch[24];
   char count[24];
@@ -167,7 +167,7 @@
     return;
   apply_report (instance, reply);
   if (instance->phase == INSTANCE_ADOPTING)
-    adopted (instance);
+    finish_adoption (instance);
 }
 
 static bool
--- a/src/coordination/sched_job_call.c
+++ b/src/coordination/sched_job_call.c
@@ -10,8 +10,8 @@
 /* Whether some worker is large enough for a task of the job; true while the
    instances are not known.  Otherwise @problem says what is missing. */
 static bool
-can_fit_any_worker (struct rst_scheduler *sched,
-                    const struct rst_job_spec *spec, GString *problem)
+fits_some_worker (struct rst_scheduler *sched, const struct rst_job_spec *spec,
+                  GString *problem)
 {
   struct rst_instance_info largest = { 0 };
   GHashTableIter iterator;
@@ -61,7 +61,7 @@
                                 "bad-request", g_strchomp (problems->str));
       goto done;
     }
-  if (!can_fit_any_worker (sched, &record.spec, problems))
+  if (!fits_some_worker (sched, &record.spec, problems))
     {
       sched_job_send_rejection (sched, link, message->id, 400, "not-run",
                                 "never-fits", problems->str);
--- a/src/coordination/sched_job_private.h
+++ b/src/coordination/sched_job_private.h
@@ -252,9 +252,9 @@
  * sched_job_end_task() - Ends a task for good.
  * @job: Its job.
  * @task: The task.
- * @letter: How it ended, as in struct rst_job_record.ended.
+ * @outcome: How it ended, as in struct rst_job_record.task_outcomes.
  */
-void sched_job_end_task (struct job *job, struct task *task, char letter);
+void sched_job_end_task (struct job *job, struct task *task, char outcome);
 
 /**
  * sched_job_handle_lost_task() - Handles a task that may have run and whose
--- a/src/coordination/sched_job_task.c
+++ b/src/coordination/sched_job_task.c
@@ -54,10 +54,10 @@
 }
 
 void
-sched_job_end_task (struct job *job, struct task *task, char letter)
+sched_job_end_task (struct job *job, struct task *task, char outcome)
 {
   sched_job_set_task_state (job, task, TASK_ENDED);
-  job->record.task_outcomes[task - job->tasks] = letter;
+  job->record.task_outcomes[task - job->tasks] = outcome;
   job->dirty = true;
 }
 
--- a/src/coordination/sched_limit.c
+++ b/src/coordination/sched_limit.c
@@ -69,13 +69,13 @@
 static void
 remove_handed_over (struct team *team, struct handed_over *handed_over)
 {
-  team->handed_over -= handed_over->count;
+  team->handed_over_count -= handed_over->count;
   CK_LIST_REMOVE (handed_over, entry);
   g_free (handed_over);
 }
 
 static void
-clear_handed_over (struct team *team)
+clear_handed_over_and_transfers (struct team *team)
 {
   struct handed_over *handed_over;
   struct transfer *transfer;
@@ -94,7 +94,7 @@
 {
   struct team *team = data;
 
-  clear_handed_over (team);
+  clear_handed_over_and_transfers (team);
   g_free (team->written_text);
   g_free (team);
 }
@@ -107,7 +107,7 @@
 
   if (upper == RST_NO_UPPER_LIMIT || RST_FAULT (RST_FAULT_IGNORE_UPPER_LIMIT))
     return true;
-  return team->run_count + team->handed_over
+  return team->run_count + team->handed_over_count
          < MIN (MIN (team->granted, upper), team->cap);
 }
 
@@ -117,7 +117,7 @@
   uint32_t upper = sched_limit_get_upper (team->sched, team->name);
 
   return upper == RST_NO_UPPER_LIMIT
-         || team->run_count + team->handed_over <= team->granted;
+         || team->run_count + team->handed_over_count <= team->granted;
 }
 
 /* Gives up all parts, because the own tenure has ended. */
@@ -133,7 +133,7 @@
       struct team *team = value;
 
       team->granted = 0;
-      clear_handed_over (team);
+      clear_handed_over_and_transfers (team);
     }
 }
 
@@ -154,7 +154,7 @@
       CK_LIST_INSERT_HEAD (&team->handed_over_list, handed_over, entry);
     }
   handed_over->count++;
-  team->handed_over++;
+  team->handed_over_count++;
 }
 
 static uint32_t
@@ -311,7 +311,7 @@
                               void *data);
 
 static char *
-limit_key (const struct team *team)
+build_limit_key (const struct team *team)
 {
   return g_strconcat ("shared/limits/", team->name, NULL);
 }
@@ -376,7 +376,7 @@
 send_write (struct team *team)
 {
   struct rst_scheduler *sched = team->sched;
-  char *key = limit_key (team);
+  char *key = build_limit_key (team);
 
   sched->counters.store_writes++;
   sched->platform->store_put (sched->platform_data, key, team->written_text,
@@ -418,7 +418,7 @@
 read_limit (struct team *team)
 {
   struct rst_scheduler *sched = team->sched;
-  char *key = limit_key (team);
+  char *key = build_limit_key (team);
 
   team->verify_at = 0;
   sched->counters.store_reads++;
@@ -566,7 +566,7 @@
 sched_limit_note_rejected_start (struct team *team)
 {
   rst_ms now = sched_now (team->sched);
-  uint32_t in_use = team->run_count + team->handed_over;
+  uint32_t in_use = team->run_count + team->handed_over_count;
   if (now - team->last_rejection_at < REJECTION_BURST_MS)
     team->burst_rejections++;
   else
@@ -584,14 +584,14 @@
 static uint32_t
 get_demand (const struct team *team)
 {
-  uint32_t in_use = team->run_count + team->handed_over;
+  uint32_t in_use = team->run_count + team->handed_over_count;
   bool fresh
       = sched_now (team->sched) - team->last_rejection_at < DEMAND_TTL_MS;
   uint32_t tasks = fresh && team->demanded_runs > in_use
                        ? team->demanded_runs - in_use
                        : 0;
 
-  return team->queued + tasks;
+  return team->queued_count + tasks;
 }
 
 /* Raises the own part to the need, as far as the limit leaves room, and
@@ -601,7 +601,7 @@
 {
   struct rst_limit_part *part
       = rst_limit_find_part (limit, team->sched->incarnation);
-  uint32_t in_use = team->run_count + team->handed_over;
+  uint32_t in_use = team->run_count + team->handed_over_count;
   uint32_t want = in_use + get_demand (team);
   uint32_t wanted_before = part != NULL ? part->wanted : 0;
   uint32_t granted_before = part != NULL ? part->granted : 0;
@@ -622,7 +622,7 @@
 static bool
 shrink_part (struct team *team, struct rst_limit *limit, uint32_t upper)
 {
-  uint32_t in_use = team->run_count + team->handed_over;
+  uint32_t in_use = team->run_count + team->handed_over_count;
   const struct rst_limit_part *part
       = rst_limit_find_part (limit, team->sched->incarnation);
   uint32_t target;
@@ -651,7 +651,7 @@
 static bool
 update_limit (struct team *team, struct rst_limit *limit, uint32_t upper)
 {
-  uint32_t in_use = team->run_count + team->handed_over;
+  uint32_t in_use = team->run_count + team->handed_over_count;
   uint32_t need = in_use > team->granted ? in_use - team->granted : 0;
   bool changed = apply_transfers (team, limit);
 
--- a/src/coordination/sched_member.c
+++ b/src/coordination/sched_member.c
@@ -17,16 +17,16 @@
 #define RENEWALS_PER_LEASE 3
 
 char *
-sched_member_alive_key (const struct rst_scheduler *sched,
-                        const char *incarnation)
+sched_member_build_alive_key (const struct rst_scheduler *sched,
+                              const char *incarnation)
 {
   return g_strdup_printf ("shared/alive/%s/%s", sched->config.zone,
                           incarnation);
 }
 
 char *
-sched_member_record_key (const struct rst_scheduler *sched,
-                         const char *incarnation)
+sched_member_build_record_key (const struct rst_scheduler *sched,
+                               const char *incarnation)
 {
   return g_strdup_printf ("members/%s/%s", sched->config.zone, incarnation);
 }
@@ -193,7 +193,7 @@
 static void
 read_own_record (struct rst_scheduler *sched)
 {
-  char *key = sched_member_record_key (sched, sched->incarnation);
+  char *key = sched_member_build_record_key (sched, sched->incarnation);
 
   sched->counters.store_reads++;
   sched->platform->store_get (sched->platform_data, key, on_own_record_read,
@@ -238,7 +238,7 @@
   g_strlcpy (record.incarnation, sched->incarnation, RST_NAME_SIZE);
   record.view = sched->declaring_view;
   record.touch = ++sched->member_write_number;
-  key = sched_member_record_key (sched, sched->incarnation);
+  key = sched_member_build_record_key (sched, sched->incarnation);
   text = rst_member_record_format (&record);
   sched->counters.store_writes++;
   sched->platform->store_put (sched->platform_data, key, text,
@@ -292,7 +292,7 @@
 static void
 write_alive_key (struct rst_scheduler *sched)
 {
-  char *key = sched_member_alive_key (sched, sched->incarnation);
+  char *key = sched_member_build_alive_key (sched, sched->incarnation);
 
   sched->counters.store_writes++;
   sched->platform->store_put (sched->platform_data, key, "{}",
--- a/src/coordination/sched_member_private.h
+++ b/src/coordination/sched_member_private.h
@@ -7,10 +7,10 @@
 #include "coordination/scheduler_private.h"
 
 /* sched_member.c; the keys are to be freed with g_free() */
-char *sched_member_alive_key (const struct rst_scheduler *sched,
-                              const char *incarnation);
-char *sched_member_record_key (const struct rst_scheduler *sched,
-                               const char *incarnation);
+char *sched_member_build_alive_key (const struct rst_scheduler *sched,
+                                    const char *incarnation);
+char *sched_member_build_record_key (const struct rst_scheduler *sched,
+                                     const char *incarnation);
 
 /** sched_member_is_registered() - Whether this incarnation has a member record
  * and a store lease; it acts as a member only then. */
--- a/src/coordination/sched_member_takeover.c
+++ b/src/coordination/sched_member_takeover.c
@@ -55,7 +55,7 @@
 {
   struct rst_scheduler *sched = takeover->sched;
   struct rst_member_record record = { 0 };
-  char *key = sched_member_record_key (sched, takeover->member);
+  char *key = sched_member_build_record_key (sched, takeover->member);
   char *text;
 
   g_strlcpy (record.incarnation, takeover->member, RST_NAME_SIZE);
@@ -91,7 +91,7 @@
 read_alive_key (struct takeover *takeover)
 {
   struct rst_scheduler *sched = takeover->sched;
-  char *key = sched_member_alive_key (sched, takeover->member);
+  char *key = sched_member_build_alive_key (sched, takeover->member);
 
   sched->counters.store_reads++;
   sched->platform->store_get (sched->platform_data, key, on_alive_key_read,
@@ -141,7 +141,7 @@
 begin_fence (struct takeover *takeover)
 {
   struct rst_scheduler *sched = takeover->sched;
-  char *key = sched_member_record_key (sched, takeover->member);
+  char *key = sched_member_build_record_key (sched, takeover->member);
 
   takeover->call_pending = true;
   rst_promises_set_refused (sched->promises, takeover->member, true);
@@ -176,7 +176,7 @@
 sched_member_delete_record (struct rst_scheduler *sched,
                             const char *incarnation)
 {
-  char *key = sched_member_record_key (sched, incarnation);
+  char *key = sched_member_build_record_key (sched, incarnation);
 
   sched->counters.store_writes++;
   sched->platform->store_delete (sched->platform_data, key, RST_ANY_REVISION,
--- a/src/coordination/sched_peer.c
+++ b/src/coordination/sched_peer.c
@@ -162,7 +162,7 @@
 {
   uint64_t first_seen
       = sched_member_get_first_seen (sched, member->incarnation);
-  struct peer *is_probe;
+  struct peer *probe;
 
   if (strcmp (member->address, peer->address) != 0
       || strcmp (member->incarnation, peer->incarnation) == 0)
@@ -171,9 +171,9 @@
     sched_member_note_stopped (sched, member->incarnation);
   else if (!peer->outgoing)
     {
-      is_probe = open_link (sched, member->address);
-      if (is_probe != NULL)
-        is_probe->is_probe = true;
+      probe = open_link (sched, member->address);
+      if (probe != NULL)
+        probe->is_probe = true;
     }
 }
 
@@ -345,7 +345,7 @@
   message.type = RST_LOAD;
   message.load.incarnation = sched->incarnation;
   message.load.zone = sched->config.zone;
-  message.load.queued = sched->queued;
+  message.load.queued = sched->queued_count;
   message.load.ready = rst_scheduler_is_ready (sched);
   for (guint i = 0; i < sched->owned->len; i++)
     {
--- a/src/coordination/sched_query.c
+++ b/src/coordination/sched_query.c
@@ -131,7 +131,7 @@
   }
   if (query->forward_id != 0)
     g_hash_table_remove (sched->query_forwards, &query->forward_id);
-  sched->running_queries--;
+  sched->unfinished_queries--;
   query_free (query);
 }
 
@@ -193,8 +193,8 @@
     CK_STAILQ_INSERT_HEAD (queue, query, entry);
   else
     CK_STAILQ_INSERT_TAIL (queue, query, entry);
-  team->queued++;
-  query->sched->queued++;
+  team->queued_count++;
+  query->sched->queued_count++;
 }
 
 void
@@ -203,8 +203,8 @@
   struct query *query = CK_STAILQ_FIRST (queue);
 
   CK_STAILQ_REMOVE_HEAD (queue, entry);
-  query->team->queued--;
-  query->sched->queued--;
+  query->team->queued_count--;
+  query->sched->queued_count--;
 }
 
 static void
@@ -219,8 +219,8 @@
       if (now >= query->deadline)
         {
           CK_STAILQ_REMOVE (queue, query, query, entry);
-          query->team->queued--;
-          query->sched->queued--;
+          query->team->queued_count--;
+          query->sched->queued_count--;
           sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "deadline",
                               "no slot became free before the deadline");
         }
@@ -229,13 +229,13 @@
 }
 
 static void
-expire_all (struct rst_scheduler *sched)
+expire_queued_queries (struct rst_scheduler *sched)
 {
   rst_ms now = sched_now (sched);
   GHashTableIter iterator;
   gpointer value;
 
-  if (sched->queued == 0 || now < sched->expire_next_at)
+  if (sched->queued_count == 0 || now < sched->expire_next_at)
     return;
   sched->expire_next_at = now + SCHED_EXPIRE_INTERVAL_MS;
   g_hash_table_iter_init (&iterator, sched->teams);
@@ -324,10 +324,10 @@
 {
   rst_ms now = sched_now (sched);
 
-  if (sched->queued > 0 && !sched_may_start (sched))
+  if (sched->queued_count > 0 && !sched_may_start (sched))
     sched_query_flush_queues (sched);
   sched_query_offload_queues (sched);
-  expire_all (sched);
+  expire_queued_queries (sched);
   sched_query_expire_forwards (sched);
   expire_home_inquiries (sched);
   if (now >= sched->sweep_next_at)
@@ -345,7 +345,7 @@
 bool
 sched_query_is_busy (const struct rst_scheduler *sched)
 {
-  return sched->running_queries > 0;
+  return sched->unfinished_queries > 0;
 }
 
 static void
--- a/src/coordination/sched_query_intake.c
+++ b/src/coordination/sched_query_intake.c
@@ -83,7 +83,7 @@
   rst_blob_set (&query->body, request->body.data, request->body.length);
   CK_LIST_INIT (&query->waiters);
   sched_query_add_waiter (query, link, message->id);
-  sched->running_queries++;
+  sched->unfinished_queries++;
   return query;
 }
 
@@ -119,7 +119,7 @@
                           "this scheduler accepts no queries now");
       return;
     }
-  if (query->team->queued >= max_queued)
+  if (query->team->queued_count >= max_queued)
     {
       sched_query_reject (query, HTTP_STATUS_TOO_MANY, "queue-full",
                           "too many of the team's queries are waiting");
@@ -227,7 +227,7 @@
   GHashTableIter iterator;
   gpointer value;
 
-  if (sched->queued == 0 || sched_query_choose_runner (sched) != NULL)
+  if (sched->queued_count == 0 || sched_query_choose_runner (sched) != NULL)
     return;
   g_hash_table_iter_init (&iterator, sched->teams);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
--- a/src/coordination/sched_query_run.c
+++ b/src/coordination/sched_query_run.c
@@ -38,7 +38,7 @@
 }
 
 static uint64_t
-team_weight (const struct team *team)
+get_team_share (const struct team *team)
 {
   const struct rst_team *settings
       = rst_settings_find_team (team->sched->settings, team->name);
@@ -65,7 +65,7 @@
 
       if (CK_STAILQ_EMPTY (queue) || !sched_limit_allows_start (team))
         continue;
-      rank = (uint64_t)team->run_count * 1000000 / team_weight (team);
+      rank = (uint64_t)team->run_count * 1000000 / get_team_share (team);
       if (best == NULL || rank < best_rank)
         {
           best = queue;
@@ -263,10 +263,11 @@
 void
 sched_query_dispatch (struct rst_scheduler *sched)
 {
-  if (sched->dispatching || sched->queued == 0 || !sched_may_start (sched))
+  if (sched->dispatching || sched->queued_count == 0
+      || !sched_may_start (sched))
     return;
   sched->dispatching = true;
-  while (sched->queued > 0 && dispatch_next (sched))
+  while (sched->queued_count > 0 && dispatch_next (sched))
     continue;
   sched->dispatching = false;
 }
--- a/src/coordination/sched_store.c
+++ b/src/coordination/sched_store.c
@@ -182,7 +182,7 @@
 /* ---- Ownership record -------------------------------------------------- */
 
 static char *
-zone_key (const struct rst_scheduler *sched)
+build_zone_key (const struct rst_scheduler *sched)
 {
   return g_strconcat (RST_KEY_ZONE_RECORDS, sched->config.zone, NULL);
 }
@@ -232,7 +232,7 @@
 static void
 read_record (struct rst_scheduler *sched)
 {
-  char *key = zone_key (sched);
+  char *key = build_zone_key (sched);
 
   sched->zone_writer.verify_at = 0;
   sched->counters.store_reads++;
@@ -252,7 +252,7 @@
       read_record (sched);
       return;
     }
-  key = zone_key (sched);
+  key = build_zone_key (sched);
   sched_apply_branch (sched, key, reply->revision,
                       sched->zone_writer.written_text);
   g_free (key);
@@ -289,7 +289,7 @@
   zone->write_number = ++writer->write_number;
   g_strlcpy (zone->writer, sched->incarnation, RST_NAME_SIZE);
   writer->written_text = rst_zone_format (zone);
-  key = zone_key (sched);
+  key = build_zone_key (sched);
   sched->counters.store_writes++;
   sched->platform->store_put (sched->platform_data, key, writer->written_text,
                               (int64_t)zone->revision, 0, on_written, sched);
--- a/src/coordination/sched_task.c
+++ b/src/coordination/sched_task.c
@@ -195,7 +195,7 @@
 }
 
 static int64_t
-permille_of (int64_t used, int64_t total)
+to_permille (int64_t used, int64_t total)
 {
   return total > 0 ? used * 1000 / total : 0;
 }
@@ -203,13 +203,13 @@
 /* Usage of processors or memory, whichever is higher, with the task started,
    in permille. */
 static int64_t
-usage_after_start (const struct instance *instance,
-                   const struct rst_task_start *task)
+get_usage_after_start (const struct instance *instance,
+                       const struct rst_task_start *task)
 {
   const struct rst_instance_info *info = &instance->info;
   int64_t cpu
-      = permille_of (instance->cpu_used + (int64_t)task->cpu, info->cpu);
-  int64_t memory = permille_of (
+      = to_permille (instance->cpu_used + (int64_t)task->cpu, info->cpu);
+  int64_t memory = to_permille (
       instance->memory_used + (int64_t)task->memory_mb, info->memory_mb);
 
   return MAX (cpu, memory);
@@ -230,8 +230,8 @@
 /* Ranks workers with accelerators behind all others for tasks that need none:
    the penalty exceeds any usage. */
 static int64_t
-accelerator_penalty (const struct instance *instance,
-                     const struct rst_task_start *task)
+get_accelerator_penalty (const struct instance *instance,
+                         const struct rst_task_start *task)
 {
   return task->accelerators == 0 && instance->info.accelerators > 0 ? 2000 : 0;
 }
@@ -242,12 +242,12 @@
 rank_worker (const struct instance *instance,
              const struct rst_task_start *task)
 {
-  int64_t rank = accelerator_penalty (instance, task);
+  int64_t rank = get_accelerator_penalty (instance, task);
 
   if (task->policy == RST_POLICY_SERVICE)
     return rank + count_tasks_of_job (instance, task->job) * 10000
-           + usage_after_start (instance, task);
-  return rank - usage_after_start (instance, task);
+           + get_usage_after_start (instance, task);
+  return rank - get_usage_after_start (instance, task);
 }
 
 struct instance *
--- a/src/coordination/scheduler.c
+++ b/src/coordination/scheduler.c
@@ -31,7 +31,7 @@
 uint64_t
 sched_next_id (struct rst_scheduler *sched)
 {
-  return ++sched->next_id;
+  return ++sched->last_id;
 }
 
 rst_ms
@@ -316,7 +316,7 @@
 }
 
 static void
-update_stop (struct rst_scheduler *sched)
+finish_stop_if_due (struct rst_scheduler *sched)
 {
   rst_ms now = sched_now (sched);
   bool busy = sched_query_is_busy (sched);
@@ -344,7 +344,7 @@
   sched_job_tick (sched);
   dispatch_local_messages (sched);
   if (sched->stopping)
-    update_stop (sched);
+    finish_stop_if_due (sched);
 }
 
 void
@@ -516,8 +516,8 @@
       rst_json_set_text (item, "name", team->name);
       rst_json_set_number (item, "part", team->granted);
       rst_json_set_number (item, "running", team->run_count);
-      rst_json_set_number (item, "waiting", team->queued);
-      rst_json_set_number (item, "handed_over", team->handed_over);
+      rst_json_set_number (item, "waiting", team->queued_count);
+      rst_json_set_number (item, "handed_over", team->handed_over_count);
       rst_json_set_bool (item, "limit_write_pending", team->write_pending);
       json_object_array_add (list, item);
     }
--- a/src/coordination/scheduler_private.h
+++ b/src/coordination/scheduler_private.h
@@ -316,8 +316,8 @@
  *   the parts exceed the upper limit; UINT32_MAX otherwise.
  * @base_revision: Revision that the write under way expects to replace.
  * @run_count: Counted runs on owned instances.
- * @handed_over: Runs on instances handed over whose new owner has not yet
- *   announced that it counts them; they count here until then.
+ * @handed_over_count: Runs on instances handed over whose new owner has not
+ *   yet announced that it counts them; they count here until then.
  * @write_number: Number of the last write; identifies it in the record.
  * @written_text: The record as it was sent.
  * @writer: Incarnation that sent it.
@@ -326,7 +326,7 @@
  * @burst_rejections: Starts rejected for the limit in the present burst.
  * @demanded_runs: Largest number of counted runs that the starts rejected
  *   lately would have led to.
- * @queued: Queries in @urgent and @normal.
+ * @queued_count: Queries in @urgent and @normal.
  */
 struct team
 {
@@ -340,7 +340,7 @@
   uint32_t cap;
   uint64_t base_revision;
   uint32_t run_count;
-  uint32_t handed_over;
+  uint32_t handed_over_count;
   bool write_pending;
   uint64_t write_number;
   char *written_text;
@@ -353,7 +353,7 @@
   uint32_t demanded_runs;
   rst_ms last_rejection_at;
   uint64_t served;
-  uint32_t queued;
+  uint32_t queued_count;
   struct query_queue urgent;
   struct query_queue normal;
 };
@@ -437,7 +437,7 @@
   GRand *random;
   struct rst_scheduler_counters counters;
   struct rst_settings *settings;
-  uint64_t next_id; /* the last one given out */
+  uint64_t last_id; /* the last one given out */
 
   char incarnation[RST_NAME_SIZE];
   uint64_t incarnation_number;              /* count of own incarnations */
@@ -496,8 +496,8 @@
   rst_ms joined_at;            /* 0 before it is a member */
   bool awaiting_home_replies;  /* some query awaits them */
   GHashTable *query_forwards;  /* queries by message id */
-  uint64_t queued;             /* queries in all queues */
-  uint64_t running_queries;    /* received and not ended */
+  uint64_t queued_count;       /* queries in all queues */
+  uint64_t unfinished_queries; /* received and not ended */
   struct rst_retry_budget retry_budget;
   rst_ms sweep_next_at;
   rst_ms expire_next_at;
