--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -79,7 +79,7 @@
  *   not exist.
  * @revision: Receives the revision; 0 when the key does not exist.
  *
- * Return: An exit status; an error has been printed.
+ * Return: An exit status; on failure, an error has been printed.
  */
 int cli_store_get (const struct cli_args *args, const char *key, char **value,
                    uint64_t *revision);
@@ -91,7 +91,7 @@
  * @items: Receives an array of objects with the members key, value and
  *   revision, to be released with json_object_put().
  *
- * Return: An exit status; an error has been printed.
+ * Return: An exit status; on failure, an error has been printed.
  */
 int cli_store_list (const struct cli_args *args, const char *prefix,
                     struct json_object **items);
@@ -117,7 +117,7 @@
  *
  * The new value is checked before it is written.
  *
- * Return: An exit status; an error has been printed.
+ * Return: An exit status; on failure, an error has been printed.
  */
 int cli_store_update (const struct cli_args *args, const char *key,
                       cli_edit edit, void *data, uint64_t *revision);
--- a/src/coordination/sched_instance.c
+++ b/src/coordination/sched_instance.c
@@ -177,7 +177,8 @@
     drop_instance (g_ptr_array_index (sched->owned, 0), false);
 }
 
-/* Begins an ownership, also when the own one goes on under a new epoch. */
+/* Begins the adoption of an instance that this member now owns, or still owns
+   but under a new epoch. */
 static void
 begin_adoption (struct instance *instance, uint64_t epoch)
 {
--- a/src/coordination/sched_job.c
+++ b/src/coordination/sched_job.c
@@ -177,9 +177,9 @@
   sched->jobs_list_next_at = 0;
 }
 
-/* Ends waiting tasks and asks for reserved and running ones to be stopped,
-   again after START_RESEND_MS.  The others are handled once their state is
-   known. */
+/* Ends waiting tasks and sends stop requests for reserved and running ones,
+   which are repeated every START_RESEND_MS.  The others are handled once their
+   state is known. */
 static void
 cancel_tasks (struct job *job)
 {
--- a/src/coordination/sched_job_call.c
+++ b/src/coordination/sched_job_call.c
@@ -1,4 +1,4 @@
-/* Calls of callers about jobs, replied to here or forwarded to the job's
+/* Callers' operations on jobs, replied to here or forwarded to the job's
    owner. */
 #include "coordination/sched_job_private.h"
 
--- a/src/coordination/sched_job_private.h
+++ b/src/coordination/sched_job_private.h
@@ -11,7 +11,8 @@
 #include "coordination/scheduler_private.h"
 #include "state/job.h"
 
-/** Number of tasks by which one write of the record extends the intent. */
+/** Number of tasks that one write of the record adds to those that may be
+ * started, see struct rst_job_record.start_intent. */
 #define START_INTENT_BATCH_TASKS 128
 
 /** Time after which a start or stop request without a reply is sent again. */
--- a/src/coordination/sched_job_record.c
+++ b/src/coordination/sched_job_record.c
@@ -79,6 +79,8 @@
             rst_job_record_get_state (&job->record));
 }
 
+/* Searches, after a takeover, for the tasks that the previous owner may have
+   started. */
 static void
 begin_search (struct job *job)
 {
--- a/src/coordination/sched_job_start.c
+++ b/src/coordination/sched_job_start.c
@@ -17,7 +17,8 @@
 
 /* Link to the peer with the most free processor time, among those with a
    worker that has enough of it, or 0.  Free processor time in the preferred
-   zones, this one or all others, counts four times. */
+   zones, this one or all others, counts four times.  @worker_owner receives
+   the peer's incarnation. */
 static uint64_t
 choose_peer_link (struct rst_scheduler *sched, const struct rst_job_spec *spec,
                   char worker_owner[RST_NAME_SIZE], bool prefer_other_zone)
--- a/src/coordination/sched_job_task.c
+++ b/src/coordination/sched_job_task.c
@@ -219,6 +219,7 @@
       sched_job_set_task_state (job, task, TASK_RESERVED);
       break;
     case RST_TASK_NOT_RUN:
+      /* The job has a newer owner, which starts its tasks. */
       if (strcmp (event->reason, "outdated") == 0)
         break;
       sched_job_pause_starts (
--- a/src/coordination/sched_limit.c
+++ b/src/coordination/sched_limit.c
@@ -27,8 +27,8 @@
   CK_LIST_ENTRY (handed_over) entry;
 };
 
-/* A share of the own part that is to be passed to the new owner of an
-   instance; @written once the write under way contains it. */
+/* A number of runs to be moved from the own part to that of the new owner of
+   an instance; @written once the write under way contains it. */
 struct transfer
 {
   char receiver[RST_NAME_SIZE];
@@ -224,7 +224,7 @@
 }
 
 /* The new owner of an instance counts @count of the team's runs there from now
-   on.  They no longer count here, and their share of the own part moves. */
+   on.  They no longer count here, and as much of the own part moves to it. */
 static void
 move_adopted (struct team *team, const char *instance, const char *receiver,
               uint32_t count)
--- a/src/coordination/sched_member.c
+++ b/src/coordination/sched_member.c
@@ -31,8 +31,8 @@
   return g_strdup_printf ("members/%s/%s", sched->config.zone, incarnation);
 }
 
-/* Starts anew under a name that was never used; the caller has freed what
-   belonged to the incarnation before. */
+/* Begins an incarnation with a new unique name; the caller has freed what
+   belonged to the previous one. */
 static void
 begin_incarnation (struct rst_scheduler *sched)
 {
--- a/src/coordination/sched_query_private.h
+++ b/src/coordination/sched_query_private.h
@@ -29,7 +29,8 @@
                               const char *instance, uint64_t epoch,
                               const char *detail);
 
-/** sched_query_reject_message() - Rejects a request that became no query. */
+/** sched_query_reject_message() - Rejects a request for which no query was
+ * created. */
 void sched_query_reject_message (struct rst_scheduler *sched, uint64_t link,
                                  uint64_t id, uint64_t status,
                                  const char *reason, const char *detail);
--- a/src/coordination/sched_task.c
+++ b/src/coordination/sched_task.c
@@ -340,6 +340,7 @@
     }
   if (run != NULL)
     sched_run_remove (run);
+  /* A start request for this attempt that arrives later is rejected. */
   stopped.job = event->job;
   stopped.index = event->index;
   stopped.attempt = event->attempt;
--- a/src/coordination/sched_task_find.c
+++ b/src/coordination/sched_task_find.c
@@ -5,8 +5,8 @@
 
 #define LOG_DOMAIN "task"
 
-/* Start requests of owners with an earlier generation are rejected from then
-   on. */
+/* Records the highest generation of a job's owners: start requests of earlier
+   owners are rejected from then on. */
 static void
 record_generation (struct rst_scheduler *sched, const char *job,
                    uint64_t generation)
--- a/src/coordination/scheduler_private.h
+++ b/src/coordination/scheduler_private.h
@@ -322,7 +322,7 @@
  * @written_text: The record as it was sent.
  * @writer: Incarnation that sent it.
  * @verify_at: As in struct zone_writer.
- * @transfers: Shares of the own part to be passed to other members.
+ * @transfers: Runs of the own part to be moved to other members' parts.
  * @burst_rejections: Starts rejected for the limit in the present burst.
  * @demanded_runs: Largest number of counted runs that the starts rejected
  *   lately would have led to.
@@ -352,7 +352,7 @@
   uint32_t burst_rejections;
   uint32_t demanded_runs;
   rst_ms last_rejection_at;
-  uint64_t served;
+  uint64_t served; /* not used */
   uint32_t queued_count;
   struct query_queue urgent;
   struct query_queue normal;
@@ -491,8 +491,8 @@
   GHashTable *teams;           /* by name */
   GHashTable *request_records; /* by key */
   GHashTable *recent_messages; /* expiry times by link and id */
-  GHashTable *member_history;  /* by incarnation */
-  GHashTable *informed_peers;  /* times by incarnation */
+  GHashTable *member_history;  /* known_member by incarnation */
+  GHashTable *informed_peers;  /* when informed, by incarnation */
   rst_ms joined_at;            /* 0 before it is a member */
   bool awaiting_home_replies;  /* some query awaits them */
   GHashTable *query_forwards;  /* queries by message id */
--- a/src/protocol/message.h
+++ b/src/protocol/message.h
@@ -171,7 +171,7 @@
  * @incarnation: Incarnation of the sender.
  * @number: Number of the request, repeated in the reply.
  * @duration_ms: How long the promise holds, from the time at which it was
- *   requested; 0 when it is not given.
+ *   requested; 0 if it is refused.
  */
 struct rst_promise
 {
@@ -325,7 +325,7 @@
 /**
  * struct rst_task_start - Request to start a task.
  * @team: Team that the job belongs to.
- * @job: Id of the job.
+ * @job: Name of the job, "TEAM/ID".
  * @owner: Incarnation of the scheduler that owns the job; the end of the task
  *   is reported to it.
  * @index: Index of the task in its job.
@@ -359,7 +359,7 @@
 
 /**
  * struct rst_task_event - State of a task, or a request about a task.
- * @job: Id of the job.
+ * @job: Name of the job, "TEAM/ID".
  * @index: Index of the task in its job; %UINT64_MAX in the last
  *   %RST_TASK_FOUND of a reply.
  * @attempt: Number of the attempt to run the task.  In %RST_TASK_FIND it is
--- a/src/protocol/platform.h
+++ b/src/protocol/platform.h
@@ -142,7 +142,7 @@
  * struct rst_run_info - A run of a query or a task on an instance.
  * @id: Id of the run, unique among all instances.
  * @team: Team that the query or job belongs to.
- * @job: Id of the job, or "" for a query.
+ * @job: Name of the job, "TEAM/ID", or "" for a query.
  * @owner: Incarnation of the scheduler that owned the job when the run was
  *   started.
  * @index: Index of the task in its job.
@@ -212,7 +212,7 @@
 
 /**
  * struct rst_query_request - Request to run a query on a runner.
- * @id: Request id.
+ * @id: Id of the run, "TEAM/REQUEST-ID".
  * @team: Team that the query belongs to.
  * @epoch: Ownership epoch of the runner under which the request is sent.
  * @idempotent: Whether the query may run more than once.
@@ -237,10 +237,10 @@
  * struct rst_platform - Calls to the store, the instance list and instances.
  * @store_get: Reads a key.
  * @store_list: Reads all keys with a prefix.
- * @store_put: Writes a key if it has the expected revision, or 0 if it must
- *   not exist.  When @lease is not 0, the store deletes the key when that
- *   lease expires.
- * @store_delete: Deletes a key if it has the expected revision.
+ * @store_put: Writes a key if it has the revision @expected; 0 means that the
+ *   key must not exist.  When @lease is not 0, the store deletes the key when
+ *   that lease expires.
+ * @store_delete: Deletes a key if it has the revision @expected.
  * @store_watch: Long poll: returns the changes of keys with a prefix after a
  *   revision, waiting up to @wait_ms for the first.  %RST_PLATFORM_NOT_FOUND
  *   means that the store no longer has all changes since that revision.
--- a/standin/fleet.c
+++ b/standin/fleet.c
@@ -90,8 +90,8 @@
 enum fault
 {
   FAULT_NONE,
-  FAULT_FAIL,
-  FAULT_SILENT,
+  FAULT_FAIL,   /* queries and tasks fail */
+  FAULT_SILENT, /* no request is replied to */
 };
 
 /* A query that runs in a slot of a runner. */
@@ -126,7 +126,7 @@
   int64_t run_count;
   CK_LIST_HEAD (run_list, run) runs;
   GHashTable *tasks;
-  GHashTable *tombstones;
+  GHashTable *tombstones; /* ids of tasks stopped before their start */
 };
 
 static struct
@@ -136,8 +136,8 @@
   struct instance *instances;
   int instance_count;
   struct rst_http_server *server;
-  GHashTable *executed_ids;
-  GHashTable *task_starts;
+  GHashTable *executed_ids; /* of non-idempotent queries that ran */
+  GHashTable *task_starts;  /* number of starts by "JOB.INDEX" */
   int64_t query_run_count;
   int64_t overcommit_count;
   int64_t duplicate_runs;
