--- a/src/coordination/sched_query_run.c
+++ b/src/coordination/sched_query_run.c
@@ -16,22 +16,22 @@
 sched_query_choose_runner (struct rst_scheduler *sched)
 {
   struct instance *best = NULL;
-  int64_t best_load = 0;
+  int64_t best_usage_permille = 0;
 
   for (guint i = 0; i < sched->owned->len; i++)
     {
       struct instance *instance = g_ptr_array_index (sched->owned, i);
-      int64_t load;
+      int64_t usage_permille;
 
       if (instance->info.kind != RST_RUNNER
           || instance->slots_used >= instance->info.slots
           || !sched_instance_is_usable (sched, instance))
         continue;
-      load = instance->slots_used * 1000 / instance->info.slots;
-      if (best == NULL || load < best_load)
+      usage_permille = instance->slots_used * 1000 / instance->info.slots;
+      if (best == NULL || usage_permille < best_usage_permille)
         {
           best = instance;
-          best_load = load;
+          best_usage_permille = usage_permille;
         }
     }
   return best;
--- a/standin/store.c
+++ b/standin/store.c
@@ -549,7 +549,7 @@
 }
 
 static void
-handle_figures (struct rst_http_request *request)
+reply_counters (struct rst_http_request *request)
 {
   struct json_object *root = json_object_new_object ();
   char *text;
@@ -573,7 +573,7 @@
   if (strcmp (path, "/faults") == 0)
     handle_faults (request);
   else if (strcmp (path, "/figures") == 0)
-    handle_figures (request);
+    reply_counters (request);
   else if (store.is_down)
     rst_http_request_abort (request);
   else if (strcmp (path, "/v1/kv") == 0)
