--- a/src/coordination/sched_query.c
+++ b/src/coordination/sched_query.c
@@ -11,10 +11,10 @@
 
 #define LOG_DOMAIN "query"
 
-/** Part of a retry that each query adds to the retry budget. */
+/** Thousandths of a retry that each query adds to the retry budget. */
 #define RETRY_EARNED_PER_QUERY_PERMILLE 200
 
-/** Most retries that the budget can hold. */
+/** Maximum balance of the retry budget, in retries. */
 #define SAVED_RETRIES_MAX 100
 
 static void
--- a/standin/fleet.c
+++ b/standin/fleet.c
@@ -137,7 +137,7 @@
   int instance_count;
   struct rst_http_server *server;
   GHashTable *executed_ids; /* of non-idempotent queries that ran */
-  GHashTable *task_starts;  /* number of starts by "JOB.INDEX" */
+  GHashTable *task_starts;  /* number of starts by JOB.INDEX */
   int64_t query_run_count;
   int64_t overcommit_count;
   int64_t duplicate_runs;
