--- a/src/coordination/sched_instance.c
+++ b/src/coordination/sched_instance.c
@@ -203,10 +203,10 @@
 apply_ownership (struct rst_scheduler *sched, const struct rst_zone *zone,
                  const struct rst_ownership *ownership)
 {
-  bool mine = strcmp (ownership->owner, sched->incarnation) == 0;
+  bool is_own = strcmp (ownership->owner, sched->incarnation) == 0;
   struct instance *instance;
 
-  if (!mine)
+  if (!is_own)
     {
       instance = g_hash_table_lookup (sched->instances, ownership->instance);
       /* Runs on an instance that was handed over, in a rebalance or a planned
--- a/src/coordination/sched_job_start.c
+++ b/src/coordination/sched_job_start.c
@@ -146,20 +146,20 @@
 request_start (struct job *job, int64_t index)
 {
   struct task *task = &job->tasks[index];
-  bool gang = job->record.spec.policy == RST_POLICY_GANG;
+  bool is_gang = job->record.spec.policy == RST_POLICY_GANG;
   char worker_owner[RST_NAME_SIZE];
   uint64_t link = choose_worker_owner (job, index, worker_owner);
 
   if (link == 0)
     {
       sched_job_pause_starts (job, "no-capacity",
-                              gang ? GANG_RETRY_PAUSE_MS
-                                   : START_RETRY_PAUSE_MS);
+                              is_gang ? GANG_RETRY_PAUSE_MS
+                                      : START_RETRY_PAUSE_MS);
       return false;
     }
   g_strlcpy (task->worker_owner, worker_owner, RST_NAME_SIZE);
   sched_job_set_task_state (job, task, TASK_START_REQUESTED);
-  sched_job_send_start (job, index, link, gang && !job->gang_started);
+  sched_job_send_start (job, index, link, is_gang && !job->gang_started);
   return true;
 }
 
@@ -203,12 +203,12 @@
 {
   int64_t next = MIN (job->first_waiting + START_INTENT_BATCH_TASKS,
                       job->record.spec.tasks);
-  bool gang = job->record.spec.policy == RST_POLICY_GANG;
+  bool is_gang = job->record.spec.policy == RST_POLICY_GANG;
 
-  if (gang)
+  if (is_gang)
     next = job->gang_starting ? job->record.spec.tasks : 0;
   if (job->first_waiting + START_INTENT_BATCH_TASKS / 2 < job->stored_intent
-      && !gang)
+      && !is_gang)
     return;
   if (next > job->record.start_intent)
     {
--- a/src/coordination/sched_limit.c
+++ b/src/coordination/sched_limit.c
@@ -585,9 +585,9 @@
 get_demand (const struct team *team)
 {
   uint32_t in_use = team->run_count + team->handed_over_count;
-  bool fresh
+  bool is_recent
       = sched_now (team->sched) - team->last_rejection_at < DEMAND_TTL_MS;
-  uint32_t tasks = fresh && team->demanded_runs > in_use
+  uint32_t tasks = is_recent && team->demanded_runs > in_use
                        ? team->demanded_runs - in_use
                        : 0;
 
@@ -610,7 +610,7 @@
   if (more == 0 && wanted_before == 0)
     return false;
   if (more > 0)
-    more = MAX (more, SCHED_LIMIT_MIN_GROWTH);
+    more = MAX (more, SCHED_LIMIT_MIN_GROWTH_RUNS);
   rst_limit_grow_part (limit, team->sched->incarnation, upper, more);
   part = rst_limit_find_part (limit, team->sched->incarnation);
   return part != NULL
--- a/src/coordination/sched_member.c
+++ b/src/coordination/sched_member.c
@@ -505,11 +505,11 @@
 sched_member_apply_zone (struct rst_scheduler *sched)
 {
   const struct rst_zone *zone = sched_get_zone (sched);
-  bool member = rst_zone_find_member (zone, sched->incarnation) != NULL;
+  bool is_member = rst_zone_find_member (zone, sched->incarnation) != NULL;
 
-  if (member && sched->joined_revision == 0)
+  if (is_member && sched->joined_revision == 0)
     sched->joined_revision = zone->revision;
-  else if (!member && sched->joined_revision != 0 && !sched->stopping)
+  else if (!is_member && sched->joined_revision != 0 && !sched->stopping)
     handle_tenure_lost (sched);
   record_first_seen (sched, zone);
   note_stopped_predecessors (sched, zone);
--- a/src/coordination/sched_peer.c
+++ b/src/coordination/sched_peer.c
@@ -203,11 +203,11 @@
                          const struct rst_message *message)
 {
   const struct rst_hello *hello = &message->hello;
-  bool first = !peer->has_greeted;
+  bool is_first_hello = !peer->has_greeted;
 
   /* A process that greets again under a new incarnation has given up its old
      one. */
-  if (!first && strcmp (peer->incarnation, hello->incarnation) != 0)
+  if (!is_first_hello && strcmp (peer->incarnation, hello->incarnation) != 0)
     sched_member_note_stopped (sched, peer->incarnation);
   copy_hello (peer, hello);
   if (peer->role == RST_ROLE_SCHEDULER)
@@ -217,7 +217,7 @@
       sched->links->close (sched->links_data, peer->link);
       peer->has_greeted = false;
     }
-  else if (first)
+  else if (is_first_hello)
     {
       rst_debug (LOG_DOMAIN, "Peer has sent its hello.", "peer",
                  peer->incarnation);
--- a/src/coordination/sched_query.c
+++ b/src/coordination/sched_query.c
@@ -12,10 +12,10 @@
 #define LOG_DOMAIN "query"
 
 /** Thousandths of a retry that each query adds to the retry budget. */
-#define RETRY_EARNED_PER_QUERY_PERMILLE 200
+#define RETRY_PER_QUERY_PERMILLE 200
 
 /** Maximum balance of the retry budget, in retries. */
-#define SAVED_RETRIES_MAX 100
+#define RETRY_BALANCE_MAX 100
 
 static void
 record_free (gpointer data)
@@ -35,8 +35,8 @@
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, NULL);
   sched->recent_messages
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  rst_retry_budget_init (&sched->retry_budget, RETRY_EARNED_PER_QUERY_PERMILLE,
-                         SAVED_RETRIES_MAX);
+  rst_retry_budget_init (&sched->retry_budget, RETRY_PER_QUERY_PERMILLE,
+                         RETRY_BALANCE_MAX);
 }
 
 void
--- a/src/coordination/sched_task_find.c
+++ b/src/coordination/sched_task_find.c
@@ -37,9 +37,9 @@
   for (guint i = 0; i < sched->owned->len; i++)
     {
       const struct instance *instance = g_ptr_array_index (sched->owned, i);
-      bool runner = instance->listed && instance->info.kind == RST_RUNNER;
+      bool is_runner = instance->listed && instance->info.kind == RST_RUNNER;
 
-      if (instance->phase == INSTANCE_ADOPTING && !runner)
+      if (instance->phase == INSTANCE_ADOPTING && !is_runner)
         return false;
     }
   return true;
--- a/src/coordination/scheduler_private.h
+++ b/src/coordination/scheduler_private.h
@@ -60,7 +60,7 @@
 #define SCHED_LIMIT_WRITE_INTERVAL_MS 200
 
 /** Smallest number of runs by which a part is asked to grow. */
-#define SCHED_LIMIT_MIN_GROWTH 8
+#define SCHED_LIMIT_MIN_GROWTH_RUNS 8
 
 /** Longest time that a planned stop waits for running queries; half of it is
  * for handing the instances over. */
