--- a/src/coordination/sched_instance.c
+++ b/src/coordination/sched_instance.c
@@ -177,7 +177,8 @@
     drop_instance (g_ptr_array_index (sched->owned, 0), false);
 }
 
-/* Begins an ownership, also when the own one goes on under a new epoch. */
+/* Begins the adoption of an instance that this member now owns, or still owns
+   but under a new epoch. */
 static void
 begin_adoption (struct instance *instance, uint64_t epoch)
 {
@@ -199,13 +200,13 @@
 }
 
 static void
-apply_owned (struct rst_scheduler *sched, const struct rst_zone *zone,
-             const struct rst_ownership *ownership)
+apply_ownership (struct rst_scheduler *sched, const struct rst_zone *zone,
+                 const struct rst_ownership *ownership)
 {
-  bool mine = strcmp (ownership->owner, sched->incarnation) == 0;
+  bool is_own = strcmp (ownership->owner, sched->incarnation) == 0;
   struct instance *instance;
 
-  if (!mine)
+  if (!is_own)
     {
       instance = g_hash_table_lookup (sched->instances, ownership->instance);
       /* Runs on an instance that was handed over, in a rebalance or a planned
@@ -231,7 +232,7 @@
   const struct rst_zone *zone = sched_get_zone (sched);
 
   for (int i = 0; i < zone->owned_count; i++)
-    apply_owned (sched, zone, &zone->owned[i]);
+    apply_ownership (sched, zone, &zone->owned[i]);
   for (guint i = sched->owned->len; i > 0; i--)
     {
       struct instance *instance = g_ptr_array_index (sched->owned, i - 1);
--- a/src/coordination/sched_job_private.h
+++ b/src/coordination/sched_job_private.h
@@ -11,7 +11,8 @@
 #include "coordination/scheduler_private.h"
 #include "state/job.h"
 
-/** Number of tasks by which one write of the record extends the intent. */
+/** Number of tasks that one write of the record adds to those that may be
+ * started, see struct rst_job_record.start_intent. */
 #define START_INTENT_BATCH_TASKS 128
 
 /** Time after which a start or stop request without a reply is sent again. */
@@ -252,9 +253,9 @@
  * sched_job_end_task() - Ends a task for good.
  * @job: Its job.
  * @task: The task.
- * @letter: How it ended, as in struct rst_job_record.ended.
+ * @outcome: How it ended, as in struct rst_job_record.task_outcomes.
  */
-void sched_job_end_task (struct job *job, struct task *task, char letter);
+void sched_job_end_task (struct job *job, struct task *task, char outcome);
 
 /**
  * sched_job_handle_lost_task() - Handles a task that may have run and whose
--- a/src/coordination/sched_member.c
+++ b/src/coordination/sched_member.c
@@ -17,22 +17,22 @@
 #define RENEWALS_PER_LEASE 3
 
 char *
-sched_member_alive_key (const struct rst_scheduler *sched,
-                        const char *incarnation)
+sched_member_build_alive_key (const struct rst_scheduler *sched,
+                              const char *incarnation)
 {
   return g_strdup_printf ("shared/alive/%s/%s", sched->config.zone,
                           incarnation);
 }
 
 char *
-sched_member_record_key (const struct rst_scheduler *sched,
-                         const char *incarnation)
+sched_member_build_record_key (const struct rst_scheduler *sched,
+                               const char *incarnation)
 {
   return g_strdup_printf ("members/%s/%s", sched->config.zone, incarnation);
 }
 
-/* Starts anew under a name that was never used; the caller has freed what
-   belonged to the incarnation before. */
+/* Begins an incarnation with a new unique name; the caller has freed what
+   belonged to the previous one. */
 static void
 begin_incarnation (struct rst_scheduler *sched)
 {
@@ -193,7 +193,7 @@
 static void
 read_own_record (struct rst_scheduler *sched)
 {
-  char *key = sched_member_record_key (sched, sched->incarnation);
+  char *key = sched_member_build_record_key (sched, sched->incarnation);
 
   sched->counters.store_reads++;
   sched->platform->store_get (sched->platform_data, key, on_own_record_read,
@@ -238,7 +238,7 @@
   g_strlcpy (record.incarnation, sched->incarnation, RST_NAME_SIZE);
   record.view = sched->declaring_view;
   record.touch = ++sched->member_write_number;
-  key = sched_member_record_key (sched, sched->incarnation);
+  key = sched_member_build_record_key (sched, sched->incarnation);
   text = rst_member_record_format (&record);
   sched->counters.store_writes++;
   sched->platform->store_put (sched->platform_data, key, text,
@@ -292,7 +292,7 @@
 static void
 write_alive_key (struct rst_scheduler *sched)
 {
-  char *key = sched_member_alive_key (sched, sched->incarnation);
+  char *key = sched_member_build_alive_key (sched, sched->incarnation);
 
   sched->counters.store_writes++;
   sched->platform->store_put (sched->platform_data, key, "{}",
@@ -505,11 +505,11 @@
 sched_member_apply_zone (struct rst_scheduler *sched)
 {
   const struct rst_zone *zone = sched_get_zone (sched);
-  bool member = rst_zone_find_member (zone, sched->incarnation) != NULL;
+  bool is_member = rst_zone_find_member (zone, sched->incarnation) != NULL;
 
-  if (member && sched->joined_revision == 0)
+  if (is_member && sched->joined_revision == 0)
     sched->joined_revision = zone->revision;
-  else if (!member && sched->joined_revision != 0 && !sched->stopping)
+  else if (!is_member && sched->joined_revision != 0 && !sched->stopping)
     handle_tenure_lost (sched);
   record_first_seen (sched, zone);
   note_stopped_predecessors (sched, zone);
--- a/src/coordination/sched_peer.c
+++ b/src/coordination/sched_peer.c
@@ -162,7 +162,7 @@
 {
   uint64_t first_seen
       = sched_member_get_first_seen (sched, member->incarnation);
-  struct peer *is_probe;
+  struct peer *probe;
 
   if (strcmp (member->address, peer->address) != 0
       || strcmp (member->incarnation, peer->incarnation) == 0)
@@ -171,9 +171,9 @@
     sched_member_note_stopped (sched, member->incarnation);
   else if (!peer->outgoing)
     {
-      is_probe = open_link (sched, member->address);
-      if (is_probe != NULL)
-        is_probe->is_probe = true;
+      probe = open_link (sched, member->address);
+      if (probe != NULL)
+        probe->is_probe = true;
     }
 }
 
@@ -203,11 +203,11 @@
                          const struct rst_message *message)
 {
   const struct rst_hello *hello = &message->hello;
-  bool first = !peer->has_greeted;
+  bool is_first_hello = !peer->has_greeted;
 
   /* A process that greets again under a new incarnation has given up its old
      one. */
-  if (!first && strcmp (peer->incarnation, hello->incarnation) != 0)
+  if (!is_first_hello && strcmp (peer->incarnation, hello->incarnation) != 0)
     sched_member_note_stopped (sched, peer->incarnation);
   copy_hello (peer, hello);
   if (peer->role == RST_ROLE_SCHEDULER)
@@ -217,7 +217,7 @@
       sched->links->close (sched->links_data, peer->link);
       peer->has_greeted = false;
     }
-  else if (first)
+  else if (is_first_hello)
     {
       rst_debug (LOG_DOMAIN, "Peer has sent its hello.", "peer",
                  peer->incarnation);
@@ -345,7 +345,7 @@
   message.type = RST_LOAD;
   message.load.incarnation = sched->incarnation;
   message.load.zone = sched->config.zone;
-  message.load.queued = sched->queued;
+  message.load.queued = sched->queued_count;
   message.load.ready = rst_scheduler_is_ready (sched);
   for (guint i = 0; i < sched->owned->len; i++)
     {
--- a/src/coordination/sched_query_run.c
+++ b/src/coordination/sched_query_run.c
@@ -16,29 +16,29 @@
 sched_query_choose_runner (struct rst_scheduler *sched)
 {
   struct instance *best = NULL;
-  int64_t best_load = 0;
+  int64_t best_usage_permille = 0;
 
   for (guint i = 0; i < sched->owned->len; i++)
     {
       struct instance *instance = g_ptr_array_index (sched->owned, i);
-      int64_t load;
+      int64_t usage_permille;
 
       if (instance->info.kind != RST_RUNNER
           || instance->slots_used >= instance->info.slots
           || !sched_instance_is_usable (sched, instance))
         continue;
-      load = instance->slots_used * 1000 / instance->info.slots;
-      if (best == NULL || load < best_load)
+      usage_permille = instance->slots_used * 1000 / instance->info.slots;
+      if (best == NULL || usage_permille < best_usage_permille)
         {
           best = instance;
-          best_load = load;
+          best_usage_permille = usage_permille;
         }
     }
   return best;
 }
 
 static uint64_t
-team_weight (const struct team *team)
+get_team_share (const struct team *team)
 {
   const struct rst_team *settings
       = rst_settings_find_team (team->sched->settings, team->name);
@@ -65,7 +65,7 @@
 
       if (CK_STAILQ_EMPTY (queue) || !sched_limit_allows_start (team))
         continue;
-      rank = (uint64_t)team->run_count * 1000000 / team_weight (team);
+      rank = (uint64_t)team->run_count * 1000000 / get_team_share (team);
       if (best == NULL || rank < best_rank)
         {
           best = queue;
@@ -263,10 +263,11 @@
 void
 sched_query_dispatch (struct rst_scheduler *sched)
 {
-  if (sched->dispatching || sched->queued == 0 || !sched_may_start (sched))
+  if (sched->dispatching || sched->queued_count == 0
+      || !sched_may_start (sched))
     return;
   sched->dispatching = true;
-  while (sched->queued > 0 && dispatch_next (sched))
+  while (sched->queued_count > 0 && dispatch_next (sched))
     continue;
   sched->dispatching = false;
 }
