--- a/src/coordination/sched_job_call.c
+++ b/src/coordination/sched_job_call.c
@@ -71,7 +71,7 @@
     {
       sched_job_send_rejection (sched, link, message->id, 503, "not-run",
                                 "not-ready",
-                                "this scheduler accepts no jobs now");
+                                "this scheduler takes no jobs now");
       goto done;
     }
   g_snprintf (record.name, sizeof record.name, "%s/%s", call->team, call->job);
--- a/src/coordination/sched_query.c
+++ b/src/coordination/sched_query.c
@@ -311,9 +311,7 @@
       else
         {
           query->pending_home_replies = 0;
-          sched_query_end_in_doubt (
-              query,
-              "a scheduler that may have run the request did not reply");
+          sched_query_end_in_doubt (query, "an earlier home did not answer");
         }
     }
   g_list_free (records);
--- a/src/coordination/sched_query_forward.c
+++ b/src/coordination/sched_query_forward.c
@@ -137,9 +137,8 @@
       && rst_retry_budget_take_retry (&query->sched->retry_budget))
     sched_query_enqueue (query, true);
   else
-    sched_query_end_unknown (
-        query, HTTP_STATUS_BAD_GATEWAY, "", 0,
-        "the connection to the scheduler that had the query was lost");
+    sched_query_end_unknown (query, HTTP_STATUS_BAD_GATEWAY, "", 0,
+                             "the link to the scheduler that had it broke");
 }
 
 void
--- a/src/coordination/sched_query_intake.c
+++ b/src/coordination/sched_query_intake.c
@@ -27,9 +27,9 @@
     return false;
   if (record->home_moved)
     {
-      sched_query_reject_message (
-          sched, link, message->id, HTTP_STATUS_UNAVAILABLE, "home-changed",
-          "another scheduler handles this request id now");
+      sched_query_reject_message (sched, link, message->id,
+                                  HTTP_STATUS_UNAVAILABLE, "home-changed",
+                                  "another scheduler keeps this id now");
       return true;
     }
   if (record->running_query != NULL)
@@ -116,7 +116,7 @@
   if (!sched_may_start (sched))
     {
       sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "not-ready",
-                          "this scheduler accepts no queries now");
+                          "this scheduler takes no work now");
       return;
     }
   if (query->team->queued_count >= max_queued)
@@ -150,12 +150,11 @@
       query->sched->awaiting_home_replies = true;
       break;
     case RECORD_IN_DOUBT:
-      sched_query_end_in_doubt (
-          query, "a scheduler that may have run the request is lost");
+      sched_query_end_in_doubt (query, "an earlier home of this id is lost");
       break;
     case RECORD_HOME_ELSEWHERE:
       sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "home-changed",
-                          "another scheduler handles this request id now");
+                          "another scheduler keeps this id now");
       break;
     }
 }
@@ -254,7 +253,7 @@
       sched_query_dequeue_head (queue);
       if (peer == NULL || !sched_query_forward (query, peer))
         sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "not-ready",
-                            "this scheduler accepts no queries now");
+                            "this scheduler takes no work now");
     }
 }
 
--- a/src/coordination/sched_query_run.c
+++ b/src/coordination/sched_query_run.c
@@ -158,7 +158,7 @@
                              "the runner gave no whole answer");
   else
     sched_query_reject (query, HTTP_STATUS_UNAVAILABLE, "no-runner",
-                        "no runner accepted the request");
+                        "no runner took the request");
 }
 
 static void
--- a/src/coordination/sched_record.c
+++ b/src/coordination/sched_record.c
@@ -346,7 +346,7 @@
   else if (message->record.state == RST_REQUEST_RECORD_RUNNING)
     {
       query->pending_home_replies = 0;
-      sched_query_end_in_doubt (query, "it runs at another scheduler");
+      sched_query_end_in_doubt (query, "it runs at its earlier home");
     }
   else if (--query->pending_home_replies == 0)
     sched_query_place (query);
--- a/src/state/job.c
+++ b/src/state/job.c
@@ -75,7 +75,7 @@
   if (is_service && (fields->spec.run_ms != 0 || fields->spec.run_once))
     {
       g_string_append (problems,
-                       "run_ms: a service takes no run_ms or run_once\n");
+                       "run_ms: a service has no run time and runs on\n");
       valid = false;
     }
   return valid;
--- a/standin/platform_store.c
+++ b/standin/platform_store.c
@@ -298,7 +298,7 @@
   if (g_queue_get_length (&store->history) == HISTORY_CHANGES_MAX
       && oldest->revision > watch->after)
     {
-      reply_error (request, 410, "the requested history was compacted");
+      reply_error (request, 410, "this history is no longer kept");
       watch_free (watch);
       return;
     }
